--- a/src/balancer/forward_verdict.rs
+++ b/src/balancer/forward_verdict.rs
@@ -72,7 +72,7 @@
     header: &PacketHeader<'_>,
     length: usize,
 ) -> ForwardVerdict {
-    if !header.may_open(length) {
+    if !header.can_open_connection(length) {
         let cause = match header.kind {
             PacketKind::Long => DropCause::NotQuic,
             PacketKind::Short => DropCause::UnknownConnection,
--- a/src/route/feed_update.rs
+++ b/src/route/feed_update.rs
@@ -3,13 +3,13 @@
 use super::{ServiceRoute, TargetRoute};
 use crate::key::{FeedRevision, ServiceNumber, TargetKey};
 
-/// One committed change of the routes.
+/// One committed change to the routes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteChange {
     /// A service was added or changed.
     ServiceSet(ServiceRoute),
-    /// A service is gone from the manifest.
+    /// A service was removed from the manifest.
     ServiceRemoved(ServiceNumber),
     /// A target registered, or changed its phase or weight.
     TargetSet(TargetRoute),
@@ -17,14 +17,14 @@
     TargetRemoved(TargetKey),
 }
 
-/// The changes after one revision up to another.
+/// The changes between two revisions.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteDelta {
     /// The revision that the changes apply to.
     pub after: FeedRevision,
-    /// The revision that they lead to.
+    /// The revision after the changes.
     pub revision: FeedRevision,
-    /// The changes in the order of their commit.
+    /// The changes in commit order.
     pub changes: Vec<RouteChange>,
     /// The version of the manifest in force at `revision`.
     pub manifest_version: u64,
--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -1,4 +1,5 @@
-//! Where packets go: the feed's routes, the table, hashing, connection IDs.
+//! Packet routing: route updates from the feed, the route table, rendezvous
+//! hashing of targets and connection IDs that carry the route.
 
 mod connection_route;
 mod feed_update;
@@ -19,7 +20,7 @@
 pub use route_table::RouteTable;
 pub use service_pool::ServicePool;
 pub use service_route::ServiceRoute;
-pub use target_chain::{CHAIN_LENGTH, TargetChain};
+pub use target_chain::{MAX_CHAIN_LENGTH, TargetChain};
 pub use target_entry::TargetEntry;
 pub use target_route::{TargetPhase, TargetRoute};
 
--- a/src/route/packet_header.rs
+++ b/src/route/packet_header.rs
@@ -1,20 +1,20 @@
 use super::CONNECTION_ID_BYTES;
 
-/// Marks a long header in the first byte.
+/// Bit of the first byte that marks a long header.
 const LONG_HEADER_BIT: u8 = 0x80;
-/// Where the length of the destination ID stands in a long header.
-const LONG_LENGTH_AT: usize = 5;
-/// The longest connection ID of QUIC version 1, in bytes.
-const LONGEST_ID_BYTES: usize = 20;
-/// The shortest destination ID that a caller may choose, in bytes.
-const SHORTEST_CHOSEN_BYTES: usize = 8;
-/// The least size of a datagram that opens a connection, in bytes.
-const LEAST_FIRST_BYTES: usize = 1_200;
+/// Offset of the destination connection ID's length in a long header.
+const DESTINATION_LENGTH_OFFSET: usize = 5;
+/// Maximum length of a connection ID in QUIC version 1, in bytes.
+const MAX_CONNECTION_ID_BYTES: usize = 20;
+/// Minimum length of a destination connection ID that a caller chooses, in bytes.
+const MIN_CHOSEN_ID_BYTES: usize = 8;
+/// Minimum size of a datagram that opens a connection, in bytes.
+const MIN_OPENING_DATAGRAM_BYTES: usize = 1_200;
 
-/// What of a QUIC packet every version keeps (RFC 8999).
+/// The version-independent header fields of a QUIC packet (RFC 8999).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PacketHeader<'a> {
-    /// The form of the header.
+    /// Long or short header.
     pub kind: PacketKind,
     /// The destination connection ID.
     pub destination: &'a [u8],
@@ -23,14 +23,14 @@
 /// The form of a QUIC header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PacketKind {
-    /// A packet of a handshake; it tells the length of its IDs.
+    /// Used during the handshake; contains the lengths of its connection IDs.
     Long,
-    /// A packet of an established connection.
+    /// Used on an established connection; the connection ID length is implicit.
     Short,
 }
 
 impl<'a> PacketHeader<'a> {
-    /// Reads the first packet of `datagram`, or `None` if it is no QUIC.
+    /// Parses the first packet of `datagram`; returns `None` if it is not QUIC.
     #[must_use]
     pub fn read(datagram: &'a [u8]) -> Option<Self> {
         let first = *datagram.first()?;
@@ -40,22 +40,22 @@
                 destination: datagram.get(1..=CONNECTION_ID_BYTES)?,
             });
         }
-        let length = usize::from(*datagram.get(LONG_LENGTH_AT)?);
-        if length > LONGEST_ID_BYTES {
+        let length = usize::from(*datagram.get(DESTINATION_LENGTH_OFFSET)?);
+        if length > MAX_CONNECTION_ID_BYTES {
             return None;
         }
-        let start = LONG_LENGTH_AT + 1;
+        let start = DESTINATION_LENGTH_OFFSET + 1;
         Some(Self {
             kind: PacketKind::Long,
             destination: datagram.get(start..start + length)?,
         })
     }
 
-    /// Returns whether a datagram of `length` bytes may open a connection.
+    /// Returns whether a datagram of `length` bytes with this header may open a connection.
     #[must_use]
-    pub fn may_open(&self, length: usize) -> bool {
+    pub fn can_open_connection(&self, length: usize) -> bool {
         self.kind == PacketKind::Long
-            && self.destination.len() >= SHORTEST_CHOSEN_BYTES
-            && length >= LEAST_FIRST_BYTES
+            && self.destination.len() >= MIN_CHOSEN_ID_BYTES
+            && length >= MIN_OPENING_DATAGRAM_BYTES
     }
 }
--- a/src/route/route_error.rs
+++ b/src/route/route_error.rs
@@ -3,23 +3,23 @@
 
 use crate::key::FeedRevision;
 
-/// Why an update of the route table was refused.
+/// Why the route table rejected an update.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 pub enum RouteError {
-    /// The update is older than the table.
-    #[error("an update to {offered} was offered, but {in_force} is in force")]
+    /// The update is older than the table's revision.
+    #[error("route update leads to {offered}, but the table is already at {in_force}")]
     Outdated {
         /// The revision of the table.
         in_force: FeedRevision,
-        /// The revision that the update leads to.
+        /// The revision after the update.
         offered: FeedRevision,
     },
-    /// The update starts from a revision that the table has not reached.
-    #[error("an update after {after} was offered, but {in_force} is in force")]
+    /// The update applies to a revision that the table has not reached.
+    #[error("route update applies to {after}, but the table is only at {in_force}")]
     Gap {
         /// The revision of the table.
         in_force: FeedRevision,
-        /// The revision that the update starts from.
+        /// The revision that the update applies to.
         after: FeedRevision,
     },
 }
--- a/src/route/route_table.rs
+++ b/src/route/route_table.rs
@@ -10,30 +10,30 @@
 };
 use crate::key::{DomainName, FeedRevision, ServiceNumber, TargetKey};
 
-type DomainMembers = BTreeMap<Arc<DomainName>, BTreeMap<TargetKey, TargetEntry>>;
+type TargetsByDomain = BTreeMap<Arc<DomainName>, BTreeMap<TargetKey, TargetEntry>>;
 
 /// All routes at one revision; the packet path reads it, the feed replaces it.
 ///
-/// A copy shares all that an update does not touch.
+/// A clone shares the data of every service that an update does not change.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTable {
     revision: FeedRevision,
     manifest_version: u64,
-    by_address: HashMap<SocketAddrV4, ServiceNumber>,
+    services_by_address: HashMap<SocketAddrV4, ServiceNumber>,
     pools: HashMap<ServiceNumber, Arc<ServicePool>>,
-    members: HashMap<ServiceNumber, Arc<DomainMembers>>,
-    homes: HashMap<TargetKey, (ServiceNumber, Arc<DomainName>)>,
-    domains: HashSet<Arc<DomainName>>,
+    service_targets: HashMap<ServiceNumber, Arc<TargetsByDomain>>,
+    target_locations: HashMap<TargetKey, (ServiceNumber, Arc<DomainName>)>,
+    interned_domains: HashSet<Arc<DomainName>>,
 }
 
 impl RouteTable {
-    /// Creates the table before the first update.
+    /// Creates an empty table at the revision before the first update.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the revision in force.
+    /// Returns the current revision.
     #[must_use]
     pub fn revision(&self) -> FeedRevision {
         self.revision
@@ -45,10 +45,10 @@
         self.manifest_version
     }
 
-    /// Returns the service that owns `address`.
+    /// Returns the service with this address.
     #[must_use]
     pub fn service_at(&self, address: SocketAddrV4) -> Option<ServiceNumber> {
-        self.by_address.get(&address).copied()
+        self.services_by_address.get(&address).copied()
     }
 
     /// Returns the pool of a service.
@@ -57,43 +57,43 @@
         self.pools.get(&service).map(Arc::as_ref)
     }
 
-    /// Returns every service.
+    /// Iterates over all services.
     pub fn services(&self) -> impl Iterator<Item = &ServiceRoute> {
         self.pools.values().map(|pool| pool.route())
     }
 
-    /// Returns every target of a service with its failure domain.
+    /// Iterates over the targets of a service, each with its failure domain.
     pub fn targets(
         &self,
         service: ServiceNumber,
     ) -> impl Iterator<Item = (&DomainName, &TargetEntry)> {
-        self.members
+        self.service_targets
             .get(&service)
             .into_iter()
-            .flat_map(|members| members.iter())
+            .flat_map(|domains| domains.iter())
             .flat_map(|(domain, entries)| {
                 entries.values().map(move |entry| (domain.as_ref(), entry))
             })
     }
 
-    /// Returns a target of a service, if it is registered there.
+    /// Returns a target if it is registered for `service`.
     #[must_use]
     pub fn target(&self, service: ServiceNumber, key: TargetKey) -> Option<TargetEntry> {
-        let (home, domain) = self.homes.get(&key)?;
-        if *home != service {
+        let (owner, domain) = self.target_locations.get(&key)?;
+        if *owner != service {
             return None;
         }
-        let members = self.members.get(home)?;
-        members.get(domain)?.get(&key).copied()
+        let domains = self.service_targets.get(owner)?;
+        domains.get(domain)?.get(&key).copied()
     }
 
-    /// Returns the number of targets of all services.
+    /// Returns the number of targets across all services.
     #[must_use]
     pub fn target_count(&self) -> usize {
-        self.homes.len()
+        self.target_locations.len()
     }
 
-    /// Takes over a whole state.
+    /// Replaces the whole table with a snapshot.
     ///
     /// # Errors
     ///
@@ -106,27 +106,27 @@
             });
         }
         let mut table = Self::new();
-        let mut touched = BTreeSet::new();
+        let mut changed_services = BTreeSet::new();
         let mut routes = BTreeMap::new();
         for service in snapshot.services {
-            touched.insert(service.number);
+            changed_services.insert(service.number);
             routes.insert(service.number, Arc::new(service));
         }
         for target in &snapshot.targets {
-            table.set_target(target, &mut touched);
+            table.set_target(target, &mut changed_services);
         }
-        table.rebuild(&touched, &mut routes);
+        table.rebuild(&changed_services, &mut routes);
         table.revision = snapshot.revision;
         table.manifest_version = snapshot.manifest_version;
         *self = table;
         Ok(())
     }
 
-    /// Takes over the changes since the revision in force.
+    /// Applies a delta that starts at the current revision or an earlier one.
     ///
     /// # Errors
     ///
-    /// Fails, and changes nothing, when the delta leads back or leaves a gap.
+    /// Fails without a change when the delta is outdated or leaves a gap.
     pub fn update(&mut self, delta: &RouteDelta) -> Result<(), RouteError> {
         if delta.revision < self.revision {
             return Err(RouteError::Outdated {
@@ -140,40 +140,40 @@
                 after: delta.after,
             });
         }
-        let mut touched = BTreeSet::new();
+        let mut changed_services = BTreeSet::new();
         let mut routes = BTreeMap::new();
         for change in &delta.changes {
-            self.take_change(change, &mut touched, &mut routes);
+            self.apply_change(change, &mut changed_services, &mut routes);
         }
-        self.rebuild(&touched, &mut routes);
+        self.rebuild(&changed_services, &mut routes);
         self.revision = delta.revision;
         self.manifest_version = delta.manifest_version;
         Ok(())
     }
 
-    /// Notes that the feed confirmed `revision` without a change in scope.
+    /// Advances to `revision` after the feed reported no change in scope; never goes back.
     pub fn confirm(&mut self, revision: FeedRevision) {
         self.revision = self.revision.max(revision);
     }
 
-    fn take_change(
+    fn apply_change(
         &mut self,
         change: &RouteChange,
-        touched: &mut BTreeSet<ServiceNumber>,
+        changed_services: &mut BTreeSet<ServiceNumber>,
         routes: &mut BTreeMap<ServiceNumber, Arc<ServiceRoute>>,
     ) {
         match change {
             RouteChange::ServiceSet(route) => {
-                touched.insert(route.number);
+                changed_services.insert(route.number);
                 routes.insert(route.number, Arc::new(route.clone()));
             }
             RouteChange::ServiceRemoved(number) => {
                 routes.remove(number);
-                touched.remove(number);
+                changed_services.remove(number);
                 self.remove_service(*number);
             }
-            RouteChange::TargetSet(route) => self.set_target(route, touched),
-            RouteChange::TargetRemoved(key) => self.remove_target(*key, touched),
+            RouteChange::TargetSet(route) => self.set_target(route, changed_services),
+            RouteChange::TargetRemoved(key) => self.remove_target(*key, changed_services),
         }
     }
 
@@ -183,70 +183,71 @@
         }
     }
 
-    /// Frees an address unless another service has taken it over since.
+    /// Removes an address unless another service uses it by now.
     fn release_address(&mut self, address: SocketAddrV4, number: ServiceNumber) {
-        if self.by_address.get(&address) == Some(&number) {
-            self.by_address.remove(&address);
+        if self.services_by_address.get(&address) == Some(&number) {
+            self.services_by_address.remove(&address);
         }
     }
 
-    fn set_target(&mut self, route: &TargetRoute, touched: &mut BTreeSet<ServiceNumber>) {
-        self.remove_target(route.key, touched);
+    fn set_target(&mut self, route: &TargetRoute, changed_services: &mut BTreeSet<ServiceNumber>) {
+        self.remove_target(route.key, changed_services);
         let domain = self.intern_domain(&route.domain);
-        let members = self.members.entry(route.service).or_default();
-        Arc::make_mut(members)
+        let domains = self.service_targets.entry(route.service).or_default();
+        Arc::make_mut(domains)
             .entry(Arc::clone(&domain))
             .or_default()
             .insert(route.key, TargetEntry::new(route));
-        self.homes.insert(route.key, (route.service, domain));
-        touched.insert(route.service);
+        self.target_locations
+            .insert(route.key, (route.service, domain));
+        changed_services.insert(route.service);
     }
 
-    fn remove_target(&mut self, key: TargetKey, touched: &mut BTreeSet<ServiceNumber>) {
-        let Some((service, domain)) = self.homes.remove(&key) else {
+    fn remove_target(&mut self, key: TargetKey, changed_services: &mut BTreeSet<ServiceNumber>) {
+        let Some((service, domain)) = self.target_locations.remove(&key) else {
             return;
         };
-        touched.insert(service);
-        let Some(members) = self.members.get_mut(&service) else {
+        changed_services.insert(service);
+        let Some(domains) = self.service_targets.get_mut(&service) else {
             return;
         };
-        let members = Arc::make_mut(members);
-        if let Some(entries) = members.get_mut(&domain) {
+        let domains = Arc::make_mut(domains);
+        if let Some(entries) = domains.get_mut(&domain) {
             entries.remove(&key);
             if entries.is_empty() {
-                members.remove(&domain);
+                domains.remove(&domain);
             }
         }
     }
 
     fn intern_domain(&mut self, name: &DomainName) -> Arc<DomainName> {
-        if let Some(domain) = self.domains.get(name) {
+        if let Some(domain) = self.interned_domains.get(name) {
             return Arc::clone(domain);
         }
         let domain = Arc::new(name.clone());
-        self.domains.insert(Arc::clone(&domain));
+        self.interned_domains.insert(Arc::clone(&domain));
         domain
     }
 
-    /// Builds the pools of the touched services anew.
+    /// Rebuilds the pools of the changed services.
     fn rebuild(
         &mut self,
-        touched: &BTreeSet<ServiceNumber>,
+        changed_services: &BTreeSet<ServiceNumber>,
         routes: &mut BTreeMap<ServiceNumber, Arc<ServiceRoute>>,
     ) {
-        let empty = DomainMembers::new();
-        for number in touched {
-            let fresh = routes.remove(number);
-            let known = self.pools.get(number).map(|pool| pool.shared_route());
-            if let Some(old) = &known {
+        let empty = TargetsByDomain::new();
+        for number in changed_services {
+            let new_route = routes.remove(number);
+            let current_route = self.pools.get(number).map(|pool| pool.shared_route());
+            if let Some(old) = &current_route {
                 self.release_address(old.spec.address, *number);
             }
-            let Some(route) = fresh.or(known) else {
+            let Some(route) = new_route.or(current_route) else {
                 continue;
             };
-            self.by_address.insert(route.spec.address, *number);
-            let members = self.members.get(number).map_or(&empty, Arc::as_ref);
-            let pool = ServicePool::new(route, members);
+            self.services_by_address.insert(route.spec.address, *number);
+            let domains = self.service_targets.get(number).map_or(&empty, Arc::as_ref);
+            let pool = ServicePool::new(route, domains);
             self.pools.insert(*number, Arc::new(pool));
         }
     }
--- a/src/route/service_pool.rs
+++ b/src/route/service_pool.rs
@@ -3,44 +3,44 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use super::{
-    CHAIN_LENGTH, ServiceRoute, TargetChain, TargetEntry,
+    MAX_CHAIN_LENGTH, ServiceRoute, TargetChain, TargetEntry,
     target_group::{TargetGroup, rendezvous_score},
 };
 use crate::key::{DomainName, TargetKey};
 
-/// A service with its targets, ready for choosing among them.
+/// A service with its targets, indexed for choosing candidates.
 #[derive(Debug, Clone)]
 pub struct ServicePool {
     route: Arc<ServiceRoute>,
     domains: Vec<DomainPool>,
-    targets: usize,
+    target_count: usize,
 }
 
 /// The targets of a service in one failure domain.
 #[derive(Debug, Clone)]
 struct DomainPool {
-    identity: u64,
+    candidate_id: u64,
     group: TargetGroup,
 }
 
 impl ServicePool {
-    /// Builds the pool of a service from its targets by failure domain.
+    /// Builds the pool from the service's targets, grouped by failure domain.
     #[must_use]
     pub fn new(
         route: Arc<ServiceRoute>,
-        members: &BTreeMap<Arc<DomainName>, BTreeMap<TargetKey, TargetEntry>>,
+        targets_by_domain: &BTreeMap<Arc<DomainName>, BTreeMap<TargetKey, TargetEntry>>,
     ) -> Self {
-        let domains = members
+        let domains = targets_by_domain
             .iter()
             .map(|(domain, entries)| DomainPool {
-                identity: domain_identity(domain),
+                candidate_id: domain_id(domain),
                 group: TargetGroup::new(entries.values().copied().collect()),
             })
             .collect();
         Self {
             route,
             domains,
-            targets: members.values().map(BTreeMap::len).sum(),
+            target_count: targets_by_domain.values().map(BTreeMap::len).sum(),
         }
     }
 
@@ -50,34 +50,34 @@
         &self.route
     }
 
-    /// Returns the service for another pool of it.
+    /// Returns a shared handle to the service, for rebuilding its pool.
     pub(super) fn shared_route(&self) -> Arc<ServiceRoute> {
         Arc::clone(&self.route)
     }
 
-    /// Returns the number of targets, leaving ones included.
+    /// Returns the number of targets, including leaving ones.
     #[must_use]
     pub fn target_count(&self) -> usize {
-        self.targets
+        self.target_count
     }
 
-    /// Returns the candidates of a first packet with the ID `destination`.
+    /// Returns the candidates for a first packet with the connection ID `destination`.
     ///
     /// Every balancer with the same table returns the same candidates. Each
-    /// comes from another failure domain while there are enough of them.
+    /// comes from a different failure domain if there are enough of them.
     #[must_use]
     pub fn choose(&self, destination: &[u8]) -> TargetChain {
         let hash = xxh3_64(destination);
         let order = self.domain_order(hash);
         let mut chain = TargetChain::new();
-        for round in 0..CHAIN_LENGTH {
+        for round in 0..MAX_CHAIN_LENGTH {
             for domain in &order {
-                if chain.len() == CHAIN_LENGTH {
+                if chain.len() == MAX_CHAIN_LENGTH {
                     return chain;
                 }
-                let taken: Vec<TargetKey> = chain.iter().collect();
+                let excluded: Vec<TargetKey> = chain.iter().collect();
                 let seed = xxh3_64_with_seed(&hash.to_le_bytes(), round as u64);
-                if let Some(target) = domain.group.choose(seed, &taken) {
+                if let Some(target) = domain.group.choose(seed, &excluded) {
                     chain.push(target);
                 }
             }
@@ -89,9 +89,10 @@
         let mut scores: Vec<(f64, &DomainPool)> = self
             .domains
             .iter()
-            .filter(|domain| domain.group.share() > 0)
+            .filter(|domain| domain.group.total_weight() > 0)
             .map(|domain| {
-                let score = rendezvous_score(hash, domain.identity, domain.group.share());
+                let score =
+                    rendezvous_score(hash, domain.candidate_id, domain.group.total_weight());
                 (score, domain)
             })
             .collect();
@@ -100,7 +101,7 @@
     }
 }
 
-fn domain_identity(domain: &DomainName) -> u64 {
+fn domain_id(domain: &DomainName) -> u64 {
     let region = xxh3_64(domain.region.as_bytes());
     xxh3_64_with_seed(domain.failure_domain.as_bytes(), region)
 }
--- a/src/route/target_chain.rs
+++ b/src/route/target_chain.rs
@@ -1,12 +1,12 @@
 use crate::key::TargetKey;
 
-/// The most candidates of a first packet.
-pub const CHAIN_LENGTH: usize = 3;
+/// Maximum number of candidates for a first packet.
+pub const MAX_CHAIN_LENGTH: usize = 3;
 
-/// The candidates of a first packet, best first.
+/// The candidates for a first packet, best first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TargetChain {
-    targets: [Option<TargetKey>; CHAIN_LENGTH],
+    targets: [Option<TargetKey>; MAX_CHAIN_LENGTH],
 }
 
 impl TargetChain {
@@ -14,11 +14,11 @@
     #[must_use]
     pub const fn new() -> Self {
         Self {
-            targets: [None; CHAIN_LENGTH],
+            targets: [None; MAX_CHAIN_LENGTH],
         }
     }
 
-    /// Adds a candidate unless it is listed already or the chain is full.
+    /// Appends a candidate unless it is already present or the chain is full.
     pub fn push(&mut self, target: TargetKey) {
         if self.targets.contains(&Some(target)) {
             return;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Returns the candidates in their order.
+    /// Iterates over the candidates, best first.
     pub fn iter(&self) -> impl Iterator<Item = TargetKey> + '_ {
         self.targets.iter().flatten().copied()
     }
@@ -39,7 +39,7 @@
         self.iter().count()
     }
 
-    /// Returns whether there is no candidate.
+    /// Returns whether there are no candidates.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.targets[0].is_none()
@@ -54,7 +54,7 @@
         Some((first, rest))
     }
 
-    /// Returns the chain with the candidates that `is_suspect` moved last.
+    /// Returns the chain with the candidates that match `is_suspect` moved to the end.
     #[must_use]
     pub fn with_suspects_last(&self, is_suspect: impl Fn(TargetKey) -> bool) -> Self {
         let mut chain = Self::new();
--- a/src/route/target_entry.rs
+++ b/src/route/target_entry.rs
@@ -3,23 +3,23 @@
 use super::{TargetPhase, TargetRoute};
 use crate::key::{IncarnationId, TargetKey};
 
-/// What the table keeps of a target.
+/// A target as stored in the route table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TargetEntry {
     /// The agent's tunnel address.
     pub key: TargetKey,
-    /// The run of the agent that registered.
+    /// The incarnation of the agent that registered.
     pub incarnation: IncarnationId,
-    /// The address at which the agent answers other agents.
+    /// The address at which other agents reach this agent.
     pub peer_address: SocketAddrV4,
-    /// The share of new connections.
+    /// The weight for new connections; at least 1.
     pub weight: u16,
-    /// Whether the target takes new work.
+    /// Whether the target accepts new work.
     pub phase: TargetPhase,
 }
 
 impl TargetEntry {
-    /// Takes over what balancers need of a registration.
+    /// Creates the entry of a registered target.
     #[must_use]
     pub fn new(route: &TargetRoute) -> Self {
         Self {
@@ -31,9 +31,9 @@
         }
     }
 
-    /// Returns the weight in the choice for a new connection.
+    /// Returns the weight for new connections; 0 if the target is leaving.
     #[must_use]
-    pub fn share(&self) -> u32 {
+    pub fn effective_weight(&self) -> u32 {
         match self.phase {
             TargetPhase::Warming | TargetPhase::Serving => u32::from(self.weight),
             TargetPhase::Leaving => 0,
--- a/src/route/target_group.rs
+++ b/src/route/target_group.rs
@@ -3,31 +3,32 @@
 use super::TargetEntry;
 use crate::key::TargetKey;
 
-/// The most targets that are ranked one by one.
-const FLAT_LIMIT: usize = 64;
-/// The parts that a larger group is split into at each level.
+/// Maximum number of targets in a leaf; every target of a leaf is scored.
+const MAX_LEAF_TARGETS: usize = 64;
+/// Number of subgroups that a larger group is split into at each level.
 const FAN_OUT: usize = 16;
-/// The bits of a target's hash that choose its part at one level.
+/// Bits of a target's hash that select its subgroup at one level.
 const FAN_OUT_BITS: u32 = 4;
-/// The levels after which parts are no longer split.
-const DEEPEST_LEVEL: u32 = 8;
-/// Separates the hash of one level from that of the next.
+/// Level at which groups are no longer split.
+const MAX_LEVEL: u32 = 8;
+/// Seed that derives the hash of the next level.
 const LEVEL_SEED: u64 = 1;
 
-/// Targets that are chosen among by weighted rendezvous hashing.
+/// A set of targets with selection by weighted rendezvous hashing.
 ///
-/// A large group is a tree, so that the cost of a choice grows with the
-/// logarithm of its size; a change moves only the flows of what changed.
+/// A large group is a tree, so the cost of a selection grows with the
+/// logarithm of its size. A change moves few flows besides those of the changed
+/// targets.
 #[derive(Debug, Clone)]
 pub(super) struct TargetGroup {
-    share: u64,
-    parts: GroupParts,
+    total_weight: u64,
+    node: GroupNode,
 }
 
 #[derive(Debug, Clone)]
-enum GroupParts {
-    Flat(Vec<TargetEntry>),
-    Split(Vec<TargetGroup>),
+enum GroupNode {
+    Leaf(Vec<TargetEntry>),
+    Branch(Vec<TargetGroup>),
 }
 
 impl TargetGroup {
@@ -37,83 +38,90 @@
     }
 
     fn at_level(entries: Vec<TargetEntry>, level: u32) -> Self {
-        let share = entries.iter().map(|entry| u64::from(entry.share())).sum();
-        let parts = if entries.len() <= FLAT_LIMIT || level >= DEEPEST_LEVEL {
-            GroupParts::Flat(entries)
+        let total_weight = entries
+            .iter()
+            .map(|entry| u64::from(entry.effective_weight()))
+            .sum();
+        let node = if entries.len() <= MAX_LEAF_TARGETS || level >= MAX_LEVEL {
+            GroupNode::Leaf(entries)
         } else {
-            GroupParts::Split(split_entries(entries, level))
+            GroupNode::Branch(split_targets(entries, level))
         };
-        Self { share, parts }
+        Self { total_weight, node }
     }
 
-    /// Returns the sum of the shares of new connections.
-    pub(super) fn share(&self) -> u64 {
-        self.share
+    /// Returns the sum of the targets' effective weights.
+    pub(super) fn total_weight(&self) -> u64 {
+        self.total_weight
     }
 
-    /// Returns the target for `hash`, passing over `taken`.
-    pub(super) fn choose(&self, hash: u64, taken: &[TargetKey]) -> Option<TargetKey> {
-        match &self.parts {
-            GroupParts::Flat(entries) => choose_entry(entries, hash, taken),
-            GroupParts::Split(groups) => choose_part(groups, hash, taken),
+    /// Returns the target for `hash`, skipping the targets in `excluded`.
+    pub(super) fn choose(&self, hash: u64, excluded: &[TargetKey]) -> Option<TargetKey> {
+        match &self.node {
+            GroupNode::Leaf(entries) => choose_in_leaf(entries, hash, excluded),
+            GroupNode::Branch(groups) => choose_in_branch(groups, hash, excluded),
         }
     }
 }
 
-/// Returns the rendezvous score of a candidate; the largest wins.
-pub(super) fn rendezvous_score(hash: u64, identity: u64, share: u64) -> f64 {
-    let mixed = xxh3_64_with_seed(&identity.to_le_bytes(), hash);
-    // 53 bits fill the mantissa; half a step keeps the logarithm finite.
+/// Returns the weighted rendezvous score of a candidate; the highest wins.
+pub(super) fn rendezvous_score(hash: u64, candidate_id: u64, weight: u64) -> f64 {
+    let mixed = xxh3_64_with_seed(&candidate_id.to_le_bytes(), hash);
+    // 53 bits fill the mantissa; the added half keeps the logarithm finite.
     #[expect(clippy::cast_precision_loss, reason = "53 bits are exact")]
     let uniform = ((mixed >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
-    #[expect(clippy::cast_precision_loss, reason = "a share needs no exactness")]
-    let share = share as f64;
-    -share / uniform.ln()
+    #[expect(clippy::cast_precision_loss, reason = "a weight may be rounded")]
+    let weight = weight as f64;
+    -weight / uniform.ln()
 }
 
-/// Returns the number that stands for a target in scores.
-pub(super) fn target_identity(key: TargetKey) -> u64 {
+/// Returns the number that identifies a target in rendezvous scores.
+pub(super) fn target_id(key: TargetKey) -> u64 {
     let address = key.address();
     u64::from(address.ip().to_bits()) << 16 | u64::from(address.port())
 }
 
-fn split_entries(entries: Vec<TargetEntry>, level: u32) -> Vec<TargetGroup> {
-    let mut parts: Vec<Vec<TargetEntry>> = vec![Vec::new(); FAN_OUT];
+fn split_targets(entries: Vec<TargetEntry>, level: u32) -> Vec<TargetGroup> {
+    let mut subgroups: Vec<Vec<TargetEntry>> = vec![Vec::new(); FAN_OUT];
     for entry in entries {
-        let hash = xxh3_64_with_seed(&target_identity(entry.key).to_le_bytes(), 0);
-        let part = (hash >> (level * FAN_OUT_BITS)) & (FAN_OUT as u64 - 1);
-        parts[usize::try_from(part).unwrap_or(0)].push(entry);
+        let hash = xxh3_64_with_seed(&target_id(entry.key).to_le_bytes(), 0);
+        let index = (hash >> (level * FAN_OUT_BITS)) & (FAN_OUT as u64 - 1);
+        subgroups[usize::try_from(index).unwrap_or(0)].push(entry);
     }
-    parts
+    subgroups
         .into_iter()
-        .map(|part| TargetGroup::at_level(part, level + 1))
+        .map(|entries| TargetGroup::at_level(entries, level + 1))
         .collect()
 }
 
-fn choose_entry(entries: &[TargetEntry], hash: u64, taken: &[TargetKey]) -> Option<TargetKey> {
+fn choose_in_leaf(entries: &[TargetEntry], hash: u64, excluded: &[TargetKey]) -> Option<TargetKey> {
     entries
         .iter()
-        .filter(|entry| entry.share() > 0 && !taken.contains(&entry.key))
+        .filter(|entry| entry.effective_weight() > 0 && !excluded.contains(&entry.key))
         .map(|entry| {
-            let identity = target_identity(entry.key);
-            let score = rendezvous_score(hash, identity, u64::from(entry.share()));
+            let candidate_id = target_id(entry.key);
+            let score = rendezvous_score(hash, candidate_id, u64::from(entry.effective_weight()));
             (score, entry.key)
         })
         .max_by(|left, right| left.0.total_cmp(&right.0))
         .map(|(_, key)| key)
 }
 
-fn choose_part(groups: &[TargetGroup], hash: u64, taken: &[TargetKey]) -> Option<TargetKey> {
+fn choose_in_branch(
+    groups: &[TargetGroup],
+    hash: u64,
+    excluded: &[TargetKey],
+) -> Option<TargetKey> {
     let mut scores: Vec<(f64, &TargetGroup)> = groups
         .iter()
         .zip(0u64..)
-        .filter(|(group, _)| group.share() > 0)
-        .map(|(group, part)| (rendezvous_score(hash, part, group.share()), group))
+        .filter(|(group, _)| group.total_weight() > 0)
+        .map(|(group, index)| (rendezvous_score(hash, index, group.total_weight()), group))
         .collect();
     scores.sort_by(|left, right| right.0.total_cmp(&left.0));
-    // The parts of every level go by the same numbers, so each level draws anew.
-    let deeper = xxh3_64_with_seed(&hash.to_le_bytes(), LEVEL_SEED);
+    // Subgroups have the same numbers at every level, so each level needs another hash.
+    let next_hash = xxh3_64_with_seed(&hash.to_le_bytes(), LEVEL_SEED);
     scores
         .iter()
-        .find_map(|(_, group)| group.choose(deeper, taken))
+        .find_map(|(_, group)| group.choose(next_hash, excluded))
 }
--- a/src/route/target_route.rs
+++ b/src/route/target_route.rs
@@ -4,33 +4,33 @@
 
 use crate::key::{DomainName, IncarnationId, ServiceNumber, TargetKey};
 
-/// A registered target, as control tells balancers and agents.
+/// A registered target, as control sends it to balancers and agents.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetRoute {
     /// The agent's tunnel address.
     pub key: TargetKey,
     /// The service that the target belongs to.
     pub service: ServiceNumber,
-    /// The run of the agent that registered.
+    /// The incarnation of the agent that registered.
     pub incarnation: IncarnationId,
-    /// Where the target runs.
+    /// The region and failure domain that the target runs in.
     pub domain: DomainName,
-    /// The address at which the agent answers other agents.
+    /// The address at which other agents reach this agent.
     pub peer_address: SocketAddrV4,
-    /// The share of new connections, relative to other targets; at least 1.
+    /// The weight for new connections, relative to other targets; at least 1.
     pub weight: u16,
-    /// Whether the target takes new work.
+    /// Whether the target accepts new work.
     pub phase: TargetPhase,
 }
 
-/// Whether a target takes new work.
+/// Whether a target accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetPhase {
-    /// Started a short while ago; takes a growing share.
+    /// Started recently; receives a growing share of new work.
     Warming,
-    /// Takes its full share.
+    /// Receives its full share of new work.
     Serving,
-    /// Finishes what it has and takes nothing new.
+    /// Finishes its current work and accepts no new work.
     Leaving,
 }
--- a/src/route/tests/chain_choice.rs
+++ b/src/route/tests/chain_choice.rs
@@ -1,4 +1,4 @@
-//! Tests of choosing candidates for first packets.
+//! Tests of candidate selection for first packets.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,7 +22,7 @@
     let mut table = RouteTable::new();
     table
         .replace(sample_snapshot(targets))
-        .expect("first state");
+        .expect("initial snapshot");
     table
 }
 
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_leaving_target_is_no_candidate() {
+fn a_leaving_target_is_never_a_candidate() {
     let mut targets = spread_targets(4);
     targets[1].phase = TargetPhase::Leaving;
     let leaving = targets[1].key;
@@ -80,25 +80,26 @@
 }
 
 #[test]
-fn a_lost_target_moves_only_its_own_choices() {
+fn removing_a_target_moves_few_other_choices() {
     let targets = spread_targets(300);
-    let lost = targets[17].key;
+    let removed = targets[17].key;
     let before = table_of(targets.clone());
-    let kept = targets.into_iter().filter(|target| target.key != lost);
+    let kept = targets.into_iter().filter(|target| target.key != removed);
     let after = table_of(kept.collect());
     let moved = (0..20_000)
         .filter(|draw| {
             let old = choose(&before, *draw).split_first().map(|(first, _)| first);
             let new = choose(&after, *draw).split_first().map(|(first, _)| first);
-            old != Some(lost) && old != new
+            old != Some(removed) && old != new
         })
         .count();
-    // The lost share shrinks one domain and its parts, which moves a little more.
+    // Removing the target also lowers the weight of its domain and its subgroups,
+    // which moves a few more choices.
     assert!(moved < 200, "{moved} of 20000 choices moved");
 }
 
 #[test]
-fn suspects_go_last_and_stay_listed() {
+fn suspects_move_to_the_end_of_the_chain() {
     let table = table_of(spread_targets(9));
     let chain = choose(&table, 5);
     let (first, _) = chain.split_first().expect("a candidate");
--- a/src/route/tests/connection_ids.rs
+++ b/src/route/tests/connection_ids.rs
@@ -1,4 +1,4 @@
-//! Tests of sealing and opening connection IDs.
+//! Tests of encrypting, decrypting and forging connection IDs.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -18,7 +18,7 @@
             secret: vec![*epoch; 32],
         })
         .collect();
-    KeyRing::new(&DeploymentSecret { active, epochs }).expect("a good secret")
+    KeyRing::new(&DeploymentSecret { active, epochs }).expect("a valid secret")
 }
 
 prop_compose! {
@@ -36,30 +36,30 @@
 
 proptest! {
     #[test]
-    fn every_balancer_with_the_key_reads_the_route(route in any_route()) {
+    fn every_balancer_with_the_key_decrypts_the_route(route in any_route()) {
         let sealed = route.seal(&ring(1, &[1]));
         prop_assert_eq!(ConnectionRoute::open(&sealed, &ring(1, &[1])), Some(route));
     }
 
     #[test]
-    fn a_route_outlives_a_rotation_of_the_secret(route in any_route()) {
+    fn a_connection_id_stays_valid_while_its_key_epoch_is_kept(route in any_route()) {
         let sealed = route.seal(&ring(1, &[1]));
         prop_assert_eq!(ConnectionRoute::open(&sealed, &ring(2, &[1, 2])), Some(route));
         prop_assert_eq!(ConnectionRoute::open(&sealed, &ring(2, &[2])), None);
     }
 
     #[test]
-    fn a_changed_byte_never_leads_to_another_service(
+    fn a_modified_connection_id_is_rejected(
         route in any_route(), place in 1usize..17, flip in 1u8..,
     ) {
         let mut sealed = route.seal(&ring(1, &[1]));
         sealed[place] ^= flip;
-        // Fixed keys: a forgery that passes the check has a chance of 2^-24.
+        // A forgery passes the check of 24 zero bits with a probability of 2^-24.
         prop_assert_eq!(ConnectionRoute::open(&sealed, &ring(1, &[1])), None);
     }
 
     #[test]
-    fn reading_any_bytes_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..64)) {
+    fn arbitrary_datagrams_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..64)) {
         let keys = ring(1, &[1]);
         if let Some(header) = PacketHeader::read(&bytes) {
             let _ = ConnectionRoute::open(header.destination, &keys);
--- a/src/route/tests/mod.rs
+++ b/src/route/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the routing core.
+//! Tests of packet routing.
 
 mod chain_choice;
 mod connection_ids;
--- a/src/route/tests/sample_routes.rs
+++ b/src/route/tests/sample_routes.rs
@@ -1,4 +1,4 @@
-//! Small routes for the tests.
+//! Sample services and targets.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
--- a/src/route/tests/table_updates.rs
+++ b/src/route/tests/table_updates.rs
@@ -1,4 +1,4 @@
-//! Tests of bringing the table up to date.
+//! Tests of applying snapshots and deltas to the route table.
 
 use proptest::prelude::*;
 
@@ -17,8 +17,8 @@
     }
 }
 
-fn all_targets(table: &RouteTable) -> Vec<TargetRouteView> {
-    let mut views: Vec<TargetRouteView> = [1, 2]
+fn all_targets(table: &RouteTable) -> Vec<TargetLine> {
+    let mut lines: Vec<TargetLine> = [1, 2]
         .into_iter()
         .flat_map(|number| {
             table
@@ -27,33 +27,34 @@
         })
         .map(|(number, domain, entry)| format!("{number} {domain} {entry:?}"))
         .collect();
-    views.sort();
-    views
+    lines.sort();
+    lines
 }
 
-type TargetRouteView = String;
+/// Service number, failure domain and entry of a target as text.
+type TargetLine = String;
 
 #[test]
-fn an_update_never_leads_back() {
+fn an_outdated_update_is_refused() {
     let mut table = RouteTable::new();
     table
         .replace(sample_snapshot(Vec::new()))
-        .expect("first state");
-    let old = delta(
+        .expect("initial snapshot");
+    let outdated_delta = delta(
         3,
         9,
         vec![RouteChange::ServiceRemoved(ServiceNumber::new(1))],
     );
     assert!(matches!(
-        table.update(&old),
+        table.update(&outdated_delta),
         Err(RouteError::Outdated { .. })
     ));
-    let older = RouteSnapshot {
+    let outdated_snapshot = RouteSnapshot {
         revision: FeedRevision::new(9),
         ..sample_snapshot(Vec::new())
     };
     assert!(matches!(
-        table.replace(older),
+        table.replace(outdated_snapshot),
         Err(RouteError::Outdated { .. })
     ));
     assert!(table.pool(ServiceNumber::new(1)).is_some());
@@ -64,7 +65,7 @@
     let mut table = RouteTable::new();
     table
         .replace(sample_snapshot(Vec::new()))
-        .expect("first state");
+        .expect("initial snapshot");
     let error = table.update(&delta(11, 12, Vec::new()));
     assert!(matches!(error, Err(RouteError::Gap { .. })));
 }
@@ -74,7 +75,7 @@
     let mut table = RouteTable::new();
     table
         .replace(sample_snapshot(Vec::new()))
-        .expect("first state");
+        .expect("initial snapshot");
     let (mut one, mut two) = (sample_service(1), sample_service(2));
     std::mem::swap(&mut one.spec.address, &mut two.spec.address);
     let changes = vec![
@@ -83,7 +84,7 @@
     ];
     table
         .update(&delta(10, 11, changes))
-        .expect("a next update");
+        .expect("the next delta");
     assert_eq!(table.service_at(one.spec.address), Some(one.number));
     assert_eq!(table.service_at(two.spec.address), Some(two.number));
 }
@@ -94,27 +95,27 @@
 
 proptest! {
     #[test]
-    fn deltas_lead_to_the_same_table_as_a_snapshot(steps in prop::collection::vec(any_change(), 0..60)) {
+    fn deltas_and_a_snapshot_build_the_same_table(steps in prop::collection::vec(any_change(), 0..60)) {
         let mut table = RouteTable::new();
-        table.replace(sample_snapshot(Vec::new())).expect("first state");
-        let mut wanted: Vec<TargetRoute> = Vec::new();
+        table.replace(sample_snapshot(Vec::new())).expect("initial snapshot");
+        let mut expected: Vec<TargetRoute> = Vec::new();
         for (revision, (set, service, index, domain)) in (10..).zip(steps) {
             let target = sample_target(service, index, ["a", "b", "c"][domain]);
-            wanted.retain(|other| other.key != target.key);
+            expected.retain(|other| other.key != target.key);
             let change = if set {
-                wanted.push(target.clone());
+                expected.push(target.clone());
                 RouteChange::TargetSet(target)
             } else {
                 RouteChange::TargetRemoved(target.key)
             };
-            table.update(&delta(revision, revision + 1, vec![change])).expect("in order");
+            table.update(&delta(revision, revision + 1, vec![change])).expect("consecutive deltas");
         }
-        let mut fresh = RouteTable::new();
-        fresh.replace(sample_snapshot(wanted)).expect("first state");
-        prop_assert_eq!(all_targets(&table), all_targets(&fresh));
+        let mut rebuilt = RouteTable::new();
+        rebuilt.replace(sample_snapshot(expected)).expect("initial snapshot");
+        prop_assert_eq!(all_targets(&table), all_targets(&rebuilt));
         for draw in 0u64..40 {
             for number in [1, 2].map(ServiceNumber::new) {
-                let chains = [&table, &fresh].map(|table| {
+                let chains = [&table, &rebuilt].map(|table| {
                     table.pool(number).map(|pool| pool.choose(&draw.to_be_bytes()))
                 });
                 prop_assert_eq!(chains[0], chains[1]);
--- a/src/tunnel/frame_header.rs
+++ b/src/tunnel/frame_header.rs
@@ -5,7 +5,7 @@
 use super::FrameError;
 use crate::{
     key::{ServiceNumber, TargetKey},
-    route::{CHAIN_LENGTH, TargetChain},
+    route::{MAX_CHAIN_LENGTH, TargetChain},
     secret::{EpochKeys, KeyRing},
 };
 
@@ -20,7 +20,7 @@
 /// The part of a datagram under the proof; QUIC authenticates the rest itself.
 const PROVED_PAYLOAD_BYTES: usize = 32;
 /// The longest header, in bytes.
-pub const LONGEST_HEADER_BYTES: usize = FIXED_BYTES + CHAIN_LENGTH * CANDIDATE_BYTES;
+pub const LONGEST_HEADER_BYTES: usize = FIXED_BYTES + MAX_CHAIN_LENGTH * CANDIDATE_BYTES;
 
 const EPOCH_SHIFT: u32 = 6;
 const ECHO_BIT: u8 = 0b0010_0000;
