--- a/src/balancer/balancer_node.rs
+++ b/src/balancer/balancer_node.rs
@@ -286,7 +286,7 @@
         tokio::select! {
             changed = revisions.changed() => if changed.is_err() { return },
             () = tokio::time::sleep(HOUSEKEEPING_MILLIS.duration()) => {
-                path.forget_idle_paths();
+                path.remove_idle_paths();
                 path.counters().read().publish();
                 path.probe_suspects(&mut scratch);
             }
--- a/src/balancer/packet_path.rs
+++ b/src/balancer/packet_path.rs
@@ -16,7 +16,7 @@
     key::{ServiceNumber, TargetKey},
     route::{RouteTable, TargetChain},
     secret::SecretStore,
-    tunnel::{DatagramSocket, FrameHeader, FrameKind, PathBook, ReceivedDatagram},
+    tunnel::{DatagramSocket, FrameHeader, FrameKind, PathTable, ReceivedDatagram},
 };
 
 /// Everything that the tasks of the packet path share.
@@ -27,7 +27,7 @@
     table: Arc<ArcSwap<RouteTable>>,
     listeners: Arc<ListenerSet>,
     tunnels: Vec<DatagramSocket>,
-    paths: Mutex<PathBook>,
+    paths: Mutex<PathTable>,
     counters: PacketCounters,
 }
 
@@ -58,7 +58,7 @@
             secret,
             table,
             listeners,
-            paths: Mutex::new(PathBook::new(tunnels.len())),
+            paths: Mutex::new(PathTable::new(tunnels.len())),
             tunnels,
             counters: PacketCounters::new(),
         })
@@ -80,8 +80,8 @@
     }
 
     /// Forgets the paths that carried nothing for a while.
-    pub(crate) fn forget_idle_paths(&self) {
-        self.lock_paths().forget_idle(self.clock.now());
+    pub(crate) fn remove_idle_paths(&self) {
+        self.lock_paths().remove_idle(self.clock.now());
     }
 
     /// Tells the agents in use to answer by other balancers from now on.
@@ -278,7 +278,7 @@
         );
     }
 
-    fn lock_paths(&self) -> std::sync::MutexGuard<'_, PathBook> {
+    fn lock_paths(&self) -> std::sync::MutexGuard<'_, PathTable> {
         self.paths.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/route/tests/connection_ids.rs
+++ b/src/route/tests/connection_ids.rs
@@ -54,7 +54,7 @@
     ) {
         let mut sealed = route.seal(&ring(1, &[1]));
         sealed[place] ^= flip;
-        // A forgery passes the check of 24 zero bits with a probability of 2^-24.
+        // The keys are fixed; a modified ID passes the 24-bit check with probability 2^-24.
         prop_assert_eq!(ConnectionRoute::open(&sealed, &ring(1, &[1])), None);
     }
 
--- a/src/tunnel/datagram_socket.rs
+++ b/src/tunnel/datagram_socket.rs
@@ -7,25 +7,25 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use tokio::{io::Interest, net::UdpSocket};
 
-/// The kernel's buffer for each direction of a socket, in bytes.
+/// Size of the kernel's receive buffer and send buffer of a socket, in bytes.
 const SOCKET_BUFFER_BYTES: usize = 4 << 20;
-/// The size of a receive buffer; one holds a coalesced run of datagrams.
+/// Size of a receive buffer, in bytes; a buffer may hold several coalesced datagrams.
 const RECEIVE_BUFFER_BYTES: usize = 65_536;
 
-/// One datagram as it was received.
+/// A received datagram.
 #[derive(Debug)]
 pub(crate) struct ReceivedDatagram<'a> {
-    /// Where it came from.
+    /// The address of the sender.
     pub(crate) source: SocketAddrV4,
-    /// The local address that it was sent to, if the system tells.
+    /// The local address that it was sent to, if the kernel reports it.
     pub(crate) local_ip: Option<Ipv4Addr>,
-    /// The congestion bits of its IP header.
+    /// The ECN bits of its IP header.
     pub(crate) ecn: u8,
-    /// What it holds.
+    /// The UDP payload.
     pub(crate) payload: &'a [u8],
 }
 
-/// A UDP socket that receives in batches and sets source and congestion bits.
+/// A UDP socket that receives in batches and sets the source address and ECN bits.
 #[derive(Debug)]
 pub(crate) struct DatagramSocket {
     io: UdpSocket,
@@ -33,7 +33,7 @@
     local: SocketAddrV4,
 }
 
-/// The buffers that one receiving task reuses.
+/// Reusable buffers of one receiving task.
 #[derive(Debug)]
 pub(crate) struct ReceiveBuffers {
     bytes: Vec<Vec<u8>>,
@@ -41,7 +41,7 @@
 }
 
 impl ReceiveBuffers {
-    /// Allocates the buffers of one task.
+    /// Allocates buffers for one batch.
     pub(crate) fn new() -> Self {
         Self {
             bytes: vec![vec![0; RECEIVE_BUFFER_BYTES]; BATCH_SIZE],
@@ -51,14 +51,14 @@
 }
 
 impl DatagramSocket {
-    /// Binds a socket within the runtime.
+    /// Binds a socket; must be called within a Tokio runtime.
     ///
     /// # Errors
     ///
-    /// Fails when the address is in use or not this machine's.
+    /// Fails when the address is in use or not a local address.
     pub(crate) fn bind(address: SocketAddrV4) -> io::Result<Self> {
         let socket = Socket::new(Domain::IPV4, Type::DGRAM, Some(Protocol::UDP))?;
-        // The system may grant less; that costs bursts, not correctness.
+        // The kernel may grant smaller buffers; that only makes bursts more likely to be dropped.
         let _ = socket.set_recv_buffer_size(SOCKET_BUFFER_BYTES);
         let _ = socket.set_send_buffer_size(SOCKET_BUFFER_BYTES);
         socket.bind(&address.into())?;
@@ -76,18 +76,18 @@
         self.local
     }
 
-    /// Waits for datagrams and hands each of a batch to `take`.
+    /// Waits for datagrams and calls `handle` for each datagram of a batch.
     ///
     /// # Errors
     ///
-    /// Fails with what the system answers; most failures concern one datagram.
+    /// Returns the socket's error; most errors concern a single datagram.
     pub(crate) async fn receive(
         &self,
         buffers: &mut ReceiveBuffers,
-        mut take: impl FnMut(ReceivedDatagram<'_>),
+        mut handle: impl FnMut(ReceivedDatagram<'_>),
     ) -> io::Result<()> {
         let ReceiveBuffers { bytes, meta } = buffers;
-        let filled = loop {
+        let received_count = loop {
             self.io.readable().await?;
             let mut slices: Vec<IoSliceMut<'_>> = bytes
                 .iter_mut()
@@ -97,22 +97,22 @@
                 self.state.recv((&self.io).into(), &mut slices, meta)
             });
             match received {
-                Ok(filled) => break filled,
+                Ok(received_count) => break received_count,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Err(error),
             }
         };
-        for (buffer, meta) in bytes.iter().zip(meta.iter()).take(filled) {
-            split_run(buffer, meta, &mut take);
+        for (buffer, meta) in bytes.iter().zip(meta.iter()).take(received_count) {
+            split_coalesced(buffer, meta, &mut handle);
         }
         Ok(())
     }
 
-    /// Sends a datagram without waiting, from `source_ip` if given.
+    /// Sends a datagram without blocking, from `source_ip` if given.
     ///
     /// # Errors
     ///
-    /// Fails when the kernel's buffer is full or the peer can't be reached.
+    /// Fails when the send buffer is full or the peer is unreachable.
     pub(crate) fn try_send(
         &self,
         peer: SocketAddrV4,
@@ -133,8 +133,8 @@
     }
 }
 
-/// Splits a coalesced run into its datagrams.
-fn split_run(buffer: &[u8], meta: &RecvMeta, take: &mut impl FnMut(ReceivedDatagram<'_>)) {
+/// Splits a buffer of coalesced datagrams and calls `handle` for each.
+fn split_coalesced(buffer: &[u8], meta: &RecvMeta, handle: &mut impl FnMut(ReceivedDatagram<'_>)) {
     let SocketAddr::V4(source) = meta.addr else {
         return;
     };
@@ -143,7 +143,7 @@
         _ => None,
     };
     for payload in buffer[..meta.len].chunks(meta.stride.max(1)) {
-        take(ReceivedDatagram {
+        handle(ReceivedDatagram {
             source,
             local_ip,
             ecn: meta.ecn.map_or(0, |ecn| ecn as u8),
--- a/src/tunnel/frame_error.rs
+++ b/src/tunnel/frame_error.rs
@@ -4,25 +4,25 @@
 /// Why a tunnel frame was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error, Diagnostic)]
 pub enum FrameError {
-    /// The datagram ends before its header does.
-    #[error("the frame has {length} bytes, too few for its header")]
+    /// The frame is shorter than its header.
+    #[error("frame of {length} bytes is shorter than its header")]
     Truncated {
-        /// The bytes found.
+        /// The length of the frame, in bytes.
         length: usize,
     },
-    /// The kind is none that this version knows.
-    #[error("the frame has the unknown kind {kind}")]
+    /// This version does not know the frame kind.
+    #[error("unknown frame kind {kind}")]
     UnknownKind {
-        /// The first byte found.
+        /// The frame kind on the wire.
         kind: u8,
     },
-    /// The epoch of its key is not live.
-    #[error("the frame uses the key epoch {epoch_bits}, which is not live")]
+    /// The key ring has no key of the frame's epoch.
+    #[error("no key for epoch {epoch_bits} of the frame")]
     UnknownEpoch {
-        /// The epoch's bits.
+        /// The key epoch bits of the frame.
         epoch_bits: u8,
     },
-    /// The proof does not match.
-    #[error("the frame is not authentic")]
+    /// The MAC does not match.
+    #[error("frame authentication failed")]
     Forged,
 }
--- a/src/tunnel/path_book.rs
+++ b/src/tunnel/path_table.rs
@@ -3,17 +3,17 @@
 use super::PathHealth;
 use crate::clock::{ClockMillis, SpanMillis};
 
-/// The time after which a path that carried nothing is forgotten.
+/// Time after which an unused path is removed.
 const IDLE_MILLIS: SpanMillis = SpanMillis::new(30_000);
-/// The most peers whose paths are watched; more go unwatched.
-const MOST_PEERS: usize = 65_536;
+/// Maximum number of peers with path monitoring; frames to further peers use port 0.
+const MAX_PEERS: usize = 65_536;
 
-/// The paths to the peers in use: which source port each goes by.
+/// The source port and path health of each peer in use.
 ///
-/// A path that went silent is left for the next source port, since something
-/// between the two ends may have lost track of the old one.
+/// A silent path moves to the next source port, since a device between the two
+/// ends may have lost its state for the old one.
 #[derive(Debug)]
-pub(crate) struct PathBook {
+pub(crate) struct PathTable {
     ports: usize,
     peers: HashMap<SocketAddrV4, PeerPath>,
 }
@@ -32,14 +32,14 @@
 pub(crate) struct PathChoice {
     /// The index of the source port.
     pub(crate) port: usize,
-    /// The number that the frame asks to echo.
+    /// The number that the peer is asked to echo, if a probe is due.
     pub(crate) echo: Option<u16>,
-    /// Whether the path was changed just now.
+    /// Whether the path just moved to another source port.
     pub(crate) moved: bool,
 }
 
-impl PathBook {
-    /// Creates a book for a process with `ports` source ports, at least one.
+impl PathTable {
+    /// Creates an empty table for `ports` source ports; 0 counts as 1.
     pub(crate) fn new(ports: usize) -> Self {
         Self {
             ports: ports.max(1),
@@ -47,9 +47,9 @@
         }
     }
 
-    /// Returns how to send the next frame to `peer`.
+    /// Chooses the source port and probe for the next frame to `peer`.
     pub(crate) fn choose(&mut self, peer: SocketAddrV4, now: ClockMillis) -> PathChoice {
-        if self.peers.len() >= MOST_PEERS && !self.peers.contains_key(&peer) {
+        if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&peer) {
             return PathChoice {
                 port: 0,
                 echo: None,
@@ -66,7 +66,7 @@
         path.used_at = now;
         let moved = path.health.is_silent(now);
         if moved {
-            path.leave_port(self.ports);
+            path.move_to_next_port(self.ports);
         }
         PathChoice {
             port: path.port,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Takes an echo from `peer`.
+    /// Records an echo from `peer`.
     pub(crate) fn take_echo(&mut self, peer: SocketAddrV4, number: u16) {
         if let Some(path) = self.peers.get_mut(&peer)
             && path.health.take_echo(number)
@@ -85,28 +85,28 @@
         }
     }
 
-    /// Returns whether `peer` answers on none of the source ports.
+    /// Returns whether `peer` was silent on every source port.
     #[cfg(test)]
     pub(crate) fn is_suspect(&self, peer: SocketAddrV4) -> bool {
         self.peers.get(&peer).is_some_and(|path| path.is_suspect)
     }
 
-    /// Returns whether new work should rather go elsewhere.
+    /// Returns whether new connections should prefer other peers.
     pub(crate) fn is_doubtful(&self, peer: SocketAddrV4, now: ClockMillis) -> bool {
         self.peers
             .get(&peer)
             .is_some_and(|path| path.is_suspect || path.health.is_doubtful(now))
     }
 
-    /// Returns the doubtful and suspect peers that a probe is due to.
+    /// Returns the doubtful and suspect peers that are due for a probe.
     ///
-    /// Since new work avoids suspects, only these probes find them well again.
+    /// New connections avoid suspects, so only these probes detect their recovery.
     pub(crate) fn due_probes(&mut self, now: ClockMillis) -> Vec<(SocketAddrV4, PathChoice)> {
         let ports = self.ports;
         let probes = self.peers.iter_mut().filter_map(|(peer, path)| {
             let moved = path.health.is_silent(now);
             if moved {
-                path.leave_port(ports);
+                path.move_to_next_port(ports);
             }
             let echo = if path.is_suspect {
                 path.health.rare_probe(now)?
@@ -123,13 +123,13 @@
         probes.collect()
     }
 
-    /// Forgets the paths that carried nothing for a while.
-    pub(crate) fn forget_idle(&mut self, now: ClockMillis) {
+    /// Removes the paths that have been unused for too long.
+    pub(crate) fn remove_idle(&mut self, now: ClockMillis) {
         self.peers
             .retain(|_, path| now.since(path.used_at) < IDLE_MILLIS);
     }
 
-    /// Returns the peers in use, each with the source port of its path.
+    /// Returns the peers with the source port of each.
     pub(crate) fn peers(&self) -> Vec<(SocketAddrV4, usize)> {
         self.peers
             .iter()
@@ -137,14 +137,14 @@
             .collect()
     }
 
-    /// Returns the number of watched peers.
+    /// Returns the number of peers.
     pub(crate) fn len(&self) -> usize {
         self.peers.len()
     }
 }
 
 impl PeerPath {
-    fn leave_port(&mut self, ports: usize) {
+    fn move_to_next_port(&mut self, ports: usize) {
         self.port = (self.port + 1) % ports;
         self.silent_ports += 1;
         self.health = self.health.moved();
--- a/src/tunnel/tests.rs
+++ b/src/tunnel/tests.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 
-use super::{FrameError, FrameHeader, FrameKind, PathBook};
+use super::{FrameError, FrameHeader, FrameKind, PathTable};
 use crate::{
     clock::ClockMillis,
     key::{ServiceNumber, TargetKey},
@@ -12,8 +12,8 @@
     secret::{DeploymentSecret, KeyRing},
 };
 
-fn ring() -> KeyRing {
-    KeyRing::new(&DeploymentSecret::random(1)).expect("a good secret")
+fn key_ring() -> KeyRing {
+    KeyRing::new(&DeploymentSecret::random(1)).expect("a valid secret")
 }
 
 fn address(port: u16) -> SocketAddrV4 {
@@ -35,36 +35,44 @@
 }
 
 #[test]
-fn a_frame_of_another_deployment_is_forged() {
-    let frame = sample_frame(&ring());
-    assert_eq!(FrameHeader::read(&frame, &ring()), Err(FrameError::Forged));
+fn a_frame_of_another_deployment_is_rejected_as_forged() {
+    let frame = sample_frame(&key_ring());
+    assert_eq!(
+        FrameHeader::read(&frame, &key_ring()),
+        Err(FrameError::Forged)
+    );
 }
 
 proptest! {
     #[test]
-    fn any_changed_byte_is_noticed(place in 0usize..34, flip in 1u8..) {
-        let keys = ring();
+    fn any_modified_byte_is_rejected(offset in 0usize..34, flipped_bits in 1u8..) {
+        let keys = key_ring();
         let mut frame = sample_frame(&keys);
-        frame[place] ^= flip;
+        frame[offset] ^= flipped_bits;
         prop_assert!(FrameHeader::read(&frame, &keys).is_err());
     }
 
     #[test]
-    fn reading_any_bytes_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..80)) {
-        prop_assert!(FrameHeader::read(&bytes, &ring()).is_err());
+    fn arbitrary_bytes_are_rejected_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..80)) {
+        prop_assert!(FrameHeader::read(&bytes, &key_ring()).is_err());
     }
 }
 
-/// Sends a frame each 50 ms, answered by `answers(port)`, and returns the port.
-fn drive(book: &mut PathBook, from: u64, until: u64, answers: impl Fn(usize) -> bool) -> usize {
+/// Sends a frame every 50 ms, echoed if `answers(port)`, and returns the last port used.
+fn send_frames(
+    table: &mut PathTable,
+    from: u64,
+    until: u64,
+    answers: impl Fn(usize) -> bool,
+) -> usize {
     let mut port = 0;
     for at in (from..until).step_by(50) {
-        let choice = book.choose(address(1), ClockMillis::new(at));
+        let choice = table.choose(address(1), ClockMillis::new(at));
         port = choice.port;
         if let Some(number) = choice.echo
             && answers(port)
         {
-            book.take_echo(address(1), number);
+            table.take_echo(address(1), number);
         }
     }
     port
@@ -72,65 +80,65 @@
 
 #[test]
 fn a_path_that_answers_is_kept() {
-    let mut book = PathBook::new(2);
-    assert_eq!(drive(&mut book, 0, 60_000, |_| true), 0);
+    let mut table = PathTable::new(2);
+    assert_eq!(send_frames(&mut table, 0, 60_000, |_| true), 0);
 }
 
 #[test]
-fn a_silent_path_is_left_within_a_second_and_a_half() {
-    let mut book = PathBook::new(2);
-    drive(&mut book, 0, 5_000, |_| true);
-    assert_eq!(drive(&mut book, 5_000, 6_500, |port| port == 1), 1);
-    assert_eq!(drive(&mut book, 6_500, 60_000, |port| port == 1), 1);
-    assert!(!book.is_suspect(address(1)));
+fn a_silent_path_is_replaced_within_1500_milliseconds() {
+    let mut table = PathTable::new(2);
+    send_frames(&mut table, 0, 5_000, |_| true);
+    assert_eq!(send_frames(&mut table, 5_000, 6_500, |port| port == 1), 1);
+    assert_eq!(send_frames(&mut table, 6_500, 60_000, |port| port == 1), 1);
+    assert!(!table.is_suspect(address(1)));
 }
 
 #[test]
 fn a_peer_that_is_silent_on_all_paths_is_suspect_until_it_answers_a_probe() {
-    let mut book = PathBook::new(2);
-    drive(&mut book, 0, 3_000, |_| false);
-    assert!(book.is_suspect(address(1)));
-    let probes = book.due_probes(ClockMillis::new(4_000));
+    let mut table = PathTable::new(2);
+    send_frames(&mut table, 0, 3_000, |_| false);
+    assert!(table.is_suspect(address(1)));
+    let probes = table.due_probes(ClockMillis::new(4_000));
     let [(peer, choice)] = probes.as_slice() else {
         panic!("one probe was due, not {probes:?}");
     };
-    book.take_echo(*peer, choice.echo.expect("a probe asks for an echo"));
-    assert!(!book.is_suspect(address(1)));
+    table.take_echo(*peer, choice.echo.expect("a probe asks for an echo"));
+    assert!(!table.is_suspect(address(1)));
 }
 
 #[test]
-fn a_late_echo_of_a_left_path_does_not_clear_the_new_one() {
-    let mut book = PathBook::new(2);
-    let late = book.choose(address(1), ClockMillis::ORIGIN).echo;
-    drive(&mut book, 50, 3_000, |_| false);
-    assert!(book.is_suspect(address(1)));
-    book.take_echo(address(1), late.expect("the first frame probes"));
-    assert!(book.is_suspect(address(1)));
+fn a_late_echo_of_an_abandoned_path_does_not_clear_the_new_one() {
+    let mut table = PathTable::new(2);
+    let late_echo = table.choose(address(1), ClockMillis::ORIGIN).echo;
+    send_frames(&mut table, 50, 3_000, |_| false);
+    assert!(table.is_suspect(address(1)));
+    table.take_echo(address(1), late_echo.expect("the first frame probes"));
+    assert!(table.is_suspect(address(1)));
 }
 
 #[test]
-fn idle_paths_are_forgotten() {
-    let mut book = PathBook::new(2);
-    drive(&mut book, 0, 100, |_| true);
-    book.forget_idle(ClockMillis::new(40_000));
-    assert_eq!(book.len(), 0);
+fn idle_paths_are_removed() {
+    let mut table = PathTable::new(2);
+    send_frames(&mut table, 0, 100, |_| true);
+    table.remove_idle(ClockMillis::new(40_000));
+    assert_eq!(table.len(), 0);
 }
 
 #[test]
-fn one_lost_first_packet_sends_the_next_elsewhere() {
-    let mut book = PathBook::new(2);
-    book.choose(address(1), ClockMillis::ORIGIN);
-    assert!(!book.is_doubtful(address(1), ClockMillis::new(200)));
-    // Callers repeat a first packet after a second.
-    assert!(book.is_doubtful(address(1), ClockMillis::new(1_000)));
+fn an_unanswered_first_packet_makes_its_path_doubtful() {
+    let mut table = PathTable::new(2);
+    table.choose(address(1), ClockMillis::ORIGIN);
+    assert!(!table.is_doubtful(address(1), ClockMillis::new(200)));
+    // Callers retransmit a first packet after a second.
+    assert!(table.is_doubtful(address(1), ClockMillis::new(1_000)));
 }
 
 #[test]
-fn a_dead_peer_is_found_by_probes_alone() {
-    let mut book = PathBook::new(2);
-    book.choose(address(1), ClockMillis::ORIGIN);
+fn a_dead_peer_becomes_suspect_by_probes_alone() {
+    let mut table = PathTable::new(2);
+    table.choose(address(1), ClockMillis::ORIGIN);
     for at in (500..=4_000).step_by(500) {
-        book.due_probes(ClockMillis::new(at));
+        table.due_probes(ClockMillis::new(at));
     }
-    assert!(book.is_suspect(address(1)));
+    assert!(table.is_suspect(address(1)));
 }
