--- a/src/balancer/balancer_event.rs
+++ b/src/balancer/balancer_event.rs
@@ -8,10 +8,10 @@
         TableChanged = 2003 => "route table changed",
         ListenerOpened = 2004 => "service port opened",
         ListenerClosed = 2005 => "service port closed",
-        ListenerFailed = 2006 => "service port cannot be bound; it is tried again",
-        PathLeft = 2007 => "silent path to an agent left for another source port",
+        ListenerFailed = 2006 => "cannot bind service port; retrying",
+        PathLeft = 2007 => "path to an agent is silent; moved to another source port",
         FrameRefused = 2008 => "tunnel frame refused",
         DatagramDropped = 2009 => "datagram dropped",
-        ReceiveFailed = 2010 => "receiving failed",
+        ReceiveFailed = 2010 => "receive failed",
     }
 }
--- a/src/balancer/balancer_node.rs
+++ b/src/balancer/balancer_node.rs
@@ -6,7 +6,7 @@
 use tokio::task::JoinSet;
 
 use super::{
-    BalancerEvent, BalancerSettings, ListenerSet, PacketCounts, PacketPath,
+    BalancerEvent, BalancerSettings, ListenerSet, PacketPath, PacketTotals,
     packet_path::FrameScratch,
 };
 use crate::{
@@ -24,41 +24,41 @@
     watch::{RouteWatch, WatchState},
 };
 
-/// How often idle paths are forgotten and failed ports are tried again.
+/// Interval of the housekeeping task, which also retries ports that failed to bind.
 const HOUSEKEEPING_MILLIS: SpanMillis = SpanMillis::new(500);
-/// How long a leaving balancer waits for another datagram.
+/// How long a balancer that shuts down waits for further datagrams per round.
 const LEAVE_ROUND_MILLIS: SpanMillis = SpanMillis::new(500);
-/// The most times that it waits; the fabric should have left it long before.
-const MOST_LEAVE_ROUNDS: u32 = 20;
-/// The pause after a failure of receiving.
-const RECEIVE_PAUSE_MILLIS: SpanMillis = SpanMillis::new(10);
+/// Maximum number of such rounds; the network should stop routing to it much earlier.
+const MAX_LEAVE_ROUNDS: u32 = 20;
+/// Pause before the next attempt after a receive error.
+const RECEIVE_RETRY_MILLIS: SpanMillis = SpanMillis::new(10);
 
-/// Why a balancer could not start.
+/// Why a balancer failed to start.
 #[derive(Debug, Error, Diagnostic)]
 pub enum BalancerError {
-    /// The admin address or the metrics can't be served.
+    /// The admin server or the metrics server failed to start.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Admin(#[from] AdminError),
-    /// The deployment secret was refused.
+    /// The deployment secret could not be loaded or is invalid.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Secret(#[from] SecretError),
-    /// The signals of the system can't be listened to.
+    /// The signal handlers could not be installed.
     #[error("cannot listen to signals: {0}")]
     Signal(#[source] io::Error),
-    /// The tunnel's source ports can't be bound.
+    /// The source ports of the tunnel could not be bound.
     #[error("cannot bind the tunnel at {ip}: {cause}")]
     Tunnel {
-        /// The address from the settings.
+        /// The address in the settings.
         ip: std::net::Ipv4Addr,
-        /// What the system answered.
+        /// The error of the socket.
         #[source]
         cause: io::Error,
     },
 }
 
-/// A running balancer; dropping it stops it at once.
+/// A running balancer; dropping it stops its tasks immediately.
 #[derive(Debug)]
 pub struct BalancerNode {
     name: String,
@@ -69,48 +69,48 @@
     _tasks: JoinSet<()>,
 }
 
-/// The whole state of a balancer, for a dump.
+/// The state of a balancer, as written to a dump.
 #[derive(Debug, Clone, Serialize)]
 pub struct BalancerDump {
     /// The balancer's name.
     pub name: String,
-    /// Where it runs.
+    /// The region and failure domain that it runs in.
     pub domain: DomainName,
-    /// The revision of its routes.
+    /// The revision of its route table.
     pub revision: u64,
     /// The version of the manifest in force.
     pub manifest_version: u64,
-    /// Whether control answers.
+    /// Whether control is reachable.
     pub control_answers: bool,
     /// The open service ports.
     pub ports: Vec<u16>,
-    /// The services, each with its targets.
+    /// The services with their targets.
     pub services: Vec<ServiceDump>,
-    /// The agents whose paths are watched.
+    /// The number of agents with monitored paths.
     pub watched_paths: usize,
-    /// What the packet path has counted.
-    pub packets: PacketCounts,
+    /// The packet counters.
+    pub packets: PacketTotals,
 }
 
-/// A service of the route table, for a dump.
+/// A service of the route table, as written to a dump.
 #[derive(Debug, Clone, Serialize)]
 pub struct ServiceDump {
     /// The service's name.
     pub name: String,
-    /// The number that packets carry.
+    /// The service's number in connection IDs and tunnel frames.
     pub number: u16,
     /// The address that callers send to.
     pub address: SocketAddrV4,
-    /// The targets with failure domain and phase.
+    /// One text per target: key, failure domain and phase.
     pub targets: Vec<String>,
 }
 
 impl BalancerNode {
-    /// Starts a balancer within the runtime.
+    /// Starts a balancer; must be called within a Tokio runtime.
     ///
     /// # Errors
     ///
-    /// Fails when the secret or the tunnel's ports can't be had.
+    /// Fails when the secret can't be loaded or the tunnel's ports can't be bound.
     pub fn start(settings: &BalancerSettings) -> Result<Self, BalancerError> {
         let secret = SecretStore::open(settings.secret_file.clone())?;
         let state = WatchState::new();
@@ -128,10 +128,10 @@
         })?;
         let path = Arc::new(path);
         let mut tasks = JoinSet::new();
-        for port in 0..path.tunnels().len() {
+        for port in 0..path.tunnel_sockets().len() {
             tasks.spawn(run_tunnel(Arc::clone(&path), port));
         }
-        tasks.spawn(keep_listeners(
+        tasks.spawn(run_housekeeping(
             Arc::clone(&path),
             Arc::clone(&listeners),
             Arc::clone(&state),
@@ -155,30 +155,30 @@
         })
     }
 
-    /// Leaves in order: agents answer by other balancers at once, and what
-    /// callers still send is forwarded until nothing comes any more.
+    /// Shuts down gracefully: agents switch to other balancers for their answers,
+    /// and callers' datagrams are forwarded until no more arrive.
     pub async fn leave(&self) {
         let mut scratch = FrameScratch::default();
-        let mut carried = self.carried();
-        for _ in 0..MOST_LEAVE_ROUNDS {
-            // A forwarded datagram makes the balancer known again to its agent.
+        let mut forwarded = self.forwarded_count();
+        for _ in 0..MAX_LEAVE_ROUNDS {
+            // Each forwarded datagram makes its agent use this balancer again.
             self.path.announce_leave(&mut scratch);
             tokio::time::sleep(LEAVE_ROUND_MILLIS.duration()).await;
-            let now = self.carried();
-            if now == carried {
+            let now = self.forwarded_count();
+            if now == forwarded {
                 return;
             }
-            carried = now;
+            forwarded = now;
         }
     }
 
     /// Returns the number of callers' datagrams that were forwarded.
-    fn carried(&self) -> u64 {
-        let packets = self.path.counters().read();
+    fn forwarded_count(&self) -> u64 {
+        let packets = self.path.counters().totals();
         packets.known + packets.first
     }
 
-    /// Returns the whole state without stopping the packet path.
+    /// Returns the current state without blocking the packet path.
     #[must_use]
     pub fn dump(&self) -> BalancerDump {
         let table = self.state.table().load();
@@ -191,7 +191,7 @@
             ports: self.listeners.ports(),
             services: dump_services(&table),
             watched_paths: self.path.watched_paths(),
-            packets: self.path.counters().read(),
+            packets: self.path.counters().totals(),
         }
     }
 }
@@ -213,21 +213,21 @@
     services
 }
 
-/// Takes agents' frames from one tunnel socket.
+/// Receives agents' frames on one tunnel socket.
 async fn run_tunnel(path: Arc<PacketPath>, port: usize) {
     let mut buffers = ReceiveBuffers::new();
     let mut scratch = FrameScratch::default();
     loop {
-        let received = path.tunnels()[port]
+        let received = path.tunnel_sockets()[port]
             .receive(&mut buffers, |datagram| {
-                path.answer(port, &datagram, &mut scratch);
+                path.handle_frame(port, &datagram, &mut scratch);
             })
             .await;
-        pause_after(received).await;
+        pause_after_error(received).await;
     }
 }
 
-/// Takes callers' datagrams from one service port until it is closed.
+/// Receives callers' datagrams on one service port until the port is closed.
 async fn run_listener(
     path: Arc<PacketPath>,
     listeners: Arc<ListenerSet>,
@@ -235,28 +235,29 @@
 ) {
     let mut buffers = ReceiveBuffers::new();
     let mut scratch = FrameScratch::default();
-    while listeners.holds(&socket) {
+    while listeners.contains(&socket) {
         let received = socket.receive(&mut buffers, |datagram| {
             if let Some(arrived_at) = listeners.arrived_at(&socket, &datagram) {
                 path.forward(arrived_at, &datagram, &mut scratch);
             }
         });
         tokio::select! {
-            received = received => pause_after(received).await,
+            received = received => pause_after_error(received).await,
             () = tokio::time::sleep(HOUSEKEEPING_MILLIS.duration()) => {}
         }
     }
 }
 
-async fn pause_after(received: io::Result<()>) {
+async fn pause_after_error(received: io::Result<()>) {
     if let Err(error) = received {
         log_event!(debug, BalancerEvent::ReceiveFailed, %error);
-        tokio::time::sleep(RECEIVE_PAUSE_MILLIS.duration()).await;
+        tokio::time::sleep(RECEIVE_RETRY_MILLIS.duration()).await;
     }
 }
 
-/// Keeps the open ports in line with the routes and the path book small.
-async fn keep_listeners(
+/// Opens and closes service ports as the routes change, removes idle paths,
+/// publishes the counters and sends probes.
+async fn run_housekeeping(
     path: Arc<PacketPath>,
     listeners: Arc<ListenerSet>,
     state: Arc<WatchState>,
@@ -267,8 +268,8 @@
     loop {
         let table = state.table().load_full();
         log_event!(debug, BalancerEvent::TableChanged, revision = %table.revision());
-        let owners = wanted_ports(&table);
-        let change = listeners.change(owners);
+        let addresses_by_port = service_ports(&table);
+        let change = listeners.change(addresses_by_port);
         for port in change.closed {
             log_event!(info, BalancerEvent::ListenerClosed, port);
         }
@@ -287,22 +288,22 @@
             changed = revisions.changed() => if changed.is_err() { return },
             () = tokio::time::sleep(HOUSEKEEPING_MILLIS.duration()) => {
                 path.remove_idle_paths();
-                path.counters().read().publish();
-                path.probe_suspects(&mut scratch);
+                path.counters().totals().publish();
+                path.send_due_probes(&mut scratch);
             }
         }
         while tasks.try_join_next().is_some() {}
     }
 }
 
-/// Returns the service ports, each with the first address that has it.
-fn wanted_ports(table: &RouteTable) -> BTreeMap<u16, SocketAddrV4> {
+/// Returns the port of every service, each with the lowest service address that uses it.
+fn service_ports(table: &RouteTable) -> BTreeMap<u16, SocketAddrV4> {
     let mut addresses: Vec<SocketAddrV4> =
         table.services().map(|route| route.spec.address).collect();
     addresses.sort_unstable();
-    let mut owners = BTreeMap::new();
+    let mut addresses_by_port = BTreeMap::new();
     for address in addresses {
-        owners.entry(address.port()).or_insert(address);
+        addresses_by_port.entry(address.port()).or_insert(address);
     }
-    owners
+    addresses_by_port
 }
--- a/src/balancer/balancer_run.rs
+++ b/src/balancer/balancer_run.rs
@@ -7,11 +7,12 @@
     program::{StopSignal, start_logs},
 };
 
-/// Runs a balancer until it is told to stop, then leaves in order.
+/// Runs a balancer until the process receives a stop signal, then shuts it down
+/// gracefully.
 ///
 /// # Errors
 ///
-/// Fails when it can't start.
+/// Fails when the balancer, its signal handlers or its admin servers can't start.
 pub async fn run_balancer(settings: BalancerSettings) -> Result<(), BalancerError> {
     start_logs(settings.log_format);
     let signal = StopSignal::listen().map_err(BalancerError::Signal)?;
--- a/src/balancer/balancer_settings.rs
+++ b/src/balancer/balancer_settings.rs
@@ -11,8 +11,8 @@
     settings::{SettingsCheck, SettingsError},
 };
 
-/// The most source ports of the tunnel.
-const MOST_TUNNEL_PORTS: usize = 16;
+/// Maximum number of source ports of the tunnel.
+const MAX_TUNNEL_PORTS: usize = 16;
 
 /// The settings of `cyclamen-balancer`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -20,30 +20,30 @@
 pub struct BalancerSettings {
     /// The balancer's name, unique in the deployment.
     pub name: String,
-    /// Where the balancer runs.
+    /// The region and failure domain that the balancer runs in.
     pub domain: DomainName,
-    /// The address that callers' datagrams arrive at, for every service port.
+    /// The local address that receives callers' datagrams for every service port.
     ///
-    /// Without it the balancer listens on every address of the machine and
-    /// tells services apart by the whole address; with it, by the port alone.
+    /// If it is set, only the port identifies the service. If not, the balancer
+    /// listens on all local addresses, and address and port identify the service.
     #[serde(default)]
     pub listen_ip: Option<Ipv4Addr>,
-    /// The address that frames to agents leave from.
+    /// The source address of frames to agents.
     pub tunnel_ip: Ipv4Addr,
-    /// The number of source ports towards agents.
+    /// The number of source ports for frames to agents.
     #[serde(default = "default_tunnel_ports")]
     pub tunnel_ports: usize,
-    /// The call addresses of the control replicas.
+    /// The RPC addresses of the control replicas.
     pub control: Vec<SocketAddrV4>,
-    /// The file with the deployment secret.
+    /// The file that contains the deployment secret.
     pub secret_file: PathBuf,
-    /// The address of the admin calls.
+    /// The listen address of the admin server.
     #[serde(default)]
     pub admin_listen: Option<SocketAddrV4>,
-    /// The address of the metrics.
+    /// The listen address of the metrics server.
     #[serde(default)]
     pub metrics_listen: Option<SocketAddrV4>,
-    /// How log lines are written.
+    /// The format of log lines.
     #[serde(default)]
     pub log_format: LogFormat,
 }
@@ -54,7 +54,7 @@
 
 impl SettingsCheck for BalancerSettings {
     fn check(&self, path: &Path) -> Result<(), SettingsError> {
-        let fault = |field, value: String, allowed| {
+        let out_of_range = |field, value: String, allowed| {
             Err(SettingsError::OutOfRange {
                 path: path.to_owned(),
                 field,
@@ -63,21 +63,21 @@
             })
         };
         if self.name.is_empty() {
-            return fault(
+            return out_of_range(
                 "name",
                 self.name.clone(),
                 "a name of at least one character",
             );
         }
         if self.control.is_empty() {
-            return fault("control", "empty".to_owned(), "at least one address");
+            return out_of_range("control", "empty".to_owned(), "at least one address");
         }
         if self.tunnel_ip.is_unspecified() {
-            let allowed = "an address of this machine that agents can answer to";
-            return fault("tunnel_ip", self.tunnel_ip.to_string(), allowed);
+            let allowed = "a local address that agents can send answers to";
+            return out_of_range("tunnel_ip", self.tunnel_ip.to_string(), allowed);
         }
-        if !(1..=MOST_TUNNEL_PORTS).contains(&self.tunnel_ports) {
-            return fault("tunnel_ports", self.tunnel_ports.to_string(), "1 to 16");
+        if !(1..=MAX_TUNNEL_PORTS).contains(&self.tunnel_ports) {
+            return out_of_range("tunnel_ports", self.tunnel_ports.to_string(), "1 to 16");
         }
         Ok(())
     }
--- a/src/balancer/forward_verdict.rs
+++ b/src/balancer/forward_verdict.rs
@@ -6,43 +6,43 @@
     secret::KeyRing,
 };
 
-/// What becomes of a caller's datagram.
+/// How a caller's datagram is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ForwardVerdict {
-    /// It belongs to a connection; its ID names the agent.
+    /// It belongs to a connection; its connection ID contains the agent.
     Known {
-        /// The service that owns the address.
+        /// The service with the address that the datagram arrived at.
         service: ServiceNumber,
-        /// The agent that ends the connection.
+        /// The agent that terminates the connection.
         target: TargetKey,
     },
-    /// It opens a connection; the candidates decide among them.
+    /// It opens a connection; the candidates decide which of them accepts it.
     First {
-        /// The service that owns the address.
+        /// The service with the address that the datagram arrived at.
         service: ServiceNumber,
         /// The candidates, best first; at least one.
         chain: TargetChain,
     },
-    /// It goes nowhere.
+    /// It is dropped.
     Drop(DropCause),
 }
 
-/// Why a datagram goes nowhere.
+/// Why a caller's datagram is dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum DropCause {
-    /// No service owns the address.
+    /// No service has the address.
     UnknownAddress,
-    /// It is no QUIC, or too short to be one.
+    /// It is not QUIC, or it is too short to open a connection.
     NotQuic,
-    /// Its connection ID is forged, foreign or of a retired epoch.
+    /// Its connection ID is forged, from another deployment or of a retired key epoch.
     UnknownConnection,
     /// Its connection ID belongs to another service.
     OtherService,
-    /// The service has no target that takes new connections.
+    /// The service has no target that accepts new connections.
     NoTarget,
 }
 
-/// Decides where a datagram goes that arrived at a service address.
+/// Decides how to handle a datagram that arrived at the service address `arrived_at`.
 #[must_use]
 pub fn decide_datagram(
     table: &RouteTable,
@@ -62,11 +62,11 @@
             target: route.target,
         },
         Some(_) => ForwardVerdict::Drop(DropCause::OtherService),
-        None => decide_first(table, service, &header, datagram.len()),
+        None => decide_first_packet(table, service, &header, datagram.len()),
     }
 }
 
-fn decide_first(
+fn decide_first_packet(
     table: &RouteTable,
     service: ServiceNumber,
     header: &PacketHeader<'_>,
--- a/src/balancer/listener_set.rs
+++ b/src/balancer/listener_set.rs
@@ -9,7 +9,7 @@
 
 use crate::tunnel::{DatagramSocket, ReceivedDatagram};
 
-/// The sockets that callers' datagrams arrive at, one for each service port.
+/// The sockets that receive callers' datagrams, one for each service port.
 #[derive(Debug)]
 pub(crate) struct ListenerSet {
     listen_ip: Option<Ipv4Addr>,
@@ -19,22 +19,22 @@
 #[derive(Debug, Default)]
 struct OpenListeners {
     sockets: HashMap<u16, Arc<DatagramSocket>>,
-    owners: BTreeMap<u16, SocketAddrV4>,
+    addresses_by_port: BTreeMap<u16, SocketAddrV4>,
 }
 
-/// What a change of the wanted ports led to.
+/// The result of a change to the set of service ports.
 #[derive(Debug, Default)]
 pub(crate) struct ListenerChange {
-    /// The sockets that were opened.
+    /// The newly opened sockets.
     pub(crate) opened: Vec<Arc<DatagramSocket>>,
     /// The ports that were closed.
     pub(crate) closed: Vec<u16>,
-    /// The ports that could not be bound.
+    /// The ports that could not be bound, each with the error.
     pub(crate) failed: Vec<(u16, io::Error)>,
 }
 
 impl ListenerSet {
-    /// Creates a set without sockets; `listen_ip` is the one local address.
+    /// Creates an empty set; its sockets bind to `listen_ip`, or to all addresses if `None`.
     pub(crate) fn new(listen_ip: Option<Ipv4Addr>) -> Self {
         Self {
             listen_ip,
@@ -42,21 +42,21 @@
         }
     }
 
-    /// Opens the sockets of new ports and lets go of those no longer wanted.
+    /// Opens the sockets of new ports and removes those of other ports.
     ///
-    /// `owners` gives for each wanted port a service address that has it.
-    pub(crate) fn change(&self, owners: BTreeMap<u16, SocketAddrV4>) -> ListenerChange {
+    /// `addresses_by_port` contains a service address for each port to keep open.
+    pub(crate) fn change(&self, addresses_by_port: BTreeMap<u16, SocketAddrV4>) -> ListenerChange {
         let ip = self.listen_ip.unwrap_or(Ipv4Addr::UNSPECIFIED);
         let mut change = ListenerChange::default();
         let mut sockets = self.open.load().sockets.clone();
         sockets.retain(|port, _| {
-            let is_wanted = owners.contains_key(port);
+            let is_wanted = addresses_by_port.contains_key(port);
             if !is_wanted {
                 change.closed.push(*port);
             }
             is_wanted
         });
-        for port in owners.keys() {
+        for port in addresses_by_port.keys() {
             if sockets.contains_key(port) {
                 continue;
             }
@@ -69,7 +69,10 @@
                 Err(error) => change.failed.push((*port, error)),
             }
         }
-        self.open.store(Arc::new(OpenListeners { sockets, owners }));
+        self.open.store(Arc::new(OpenListeners {
+            sockets,
+            addresses_by_port,
+        }));
         change
     }
 
@@ -81,16 +84,16 @@
     ) -> Option<SocketAddrV4> {
         let port = socket.local().port();
         match self.listen_ip {
-            Some(_) => self.open.load().owners.get(&port).copied(),
+            Some(_) => self.open.load().addresses_by_port.get(&port).copied(),
             None => datagram.local_ip.map(|ip| SocketAddrV4::new(ip, port)),
         }
     }
 
-    /// Sends a datagram to a caller from a service's address.
+    /// Sends a datagram to a caller from the service's address.
     ///
     /// # Errors
     ///
-    /// Fails when the port is not open or the kernel does not take it.
+    /// Fails when the service's port is not open or the socket returns an error.
     pub(crate) fn send(
         &self,
         service: SocketAddrV4,
@@ -110,15 +113,15 @@
         socket.try_send(caller, payload, ecn, source_ip)
     }
 
-    /// Returns whether the set still holds `socket`.
-    pub(crate) fn holds(&self, socket: &Arc<DatagramSocket>) -> bool {
+    /// Returns whether `socket` is still in use.
+    pub(crate) fn contains(&self, socket: &Arc<DatagramSocket>) -> bool {
         let open = self.open.load();
         open.sockets
             .get(&socket.local().port())
             .is_some_and(|held| Arc::ptr_eq(held, socket))
     }
 
-    /// Returns the ports that are open.
+    /// Returns the open ports in ascending order.
     pub(crate) fn ports(&self) -> Vec<u16> {
         let mut ports: Vec<u16> = self.open.load().sockets.keys().copied().collect();
         ports.sort_unstable();
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,6 +1,6 @@
-//! The balancer: sends callers' datagrams to agents and answers back.
+//! The balancer forwards datagrams between callers and agents.
 //!
-//! It holds no state of any flow; each packet carries its route.
+//! It keeps no per-flow state; each packet carries its route.
 
 mod balancer_event;
 mod balancer_node;
@@ -15,7 +15,7 @@
 pub use balancer_run::run_balancer;
 pub use balancer_settings::BalancerSettings;
 pub use forward_verdict::{DropCause, ForwardVerdict, decide_datagram};
-pub use packet_counters::PacketCounts;
+pub use packet_counters::PacketTotals;
 
 pub(crate) use balancer_event::BalancerEvent;
 pub(crate) use listener_set::ListenerSet;
--- a/src/balancer/packet_counters.rs
+++ b/src/balancer/packet_counters.rs
@@ -5,7 +5,7 @@
 
 use super::DropCause;
 
-/// What the packet path has counted since the start.
+/// Counters of the packet path since the start.
 #[derive(Debug, Default)]
 pub(crate) struct PacketCounters {
     known: AtomicU64,
@@ -21,52 +21,52 @@
     no_target: AtomicU64,
 }
 
-/// One kind of count besides the drops.
+/// A counter other than those of [`DropCause`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum PacketCount {
-    /// A datagram of a connection went to its agent.
+pub(crate) enum CounterKind {
+    /// A datagram of a known connection was forwarded to its agent.
     Known,
-    /// A first packet went to a candidate.
+    /// A first packet was forwarded to a candidate.
     First,
-    /// An agent's datagram went to its caller.
+    /// An agent's datagram was forwarded to its caller.
     Answered,
-    /// The kernel did not take a datagram.
+    /// A datagram could not be sent.
     Unsent,
-    /// A frame was truncated, unknown or not authentic.
+    /// A frame was truncated, of an unknown or unexpected kind, or not authentic.
     BadFrame,
-    /// A silent path was left for another source port.
+    /// A silent path was moved to another source port.
     MovedPath,
 }
 
-/// The counts at one moment.
+/// Values of the packet counters at one point in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize)]
-pub struct PacketCounts {
-    /// Datagrams of connections that went to their agents.
+pub struct PacketTotals {
+    /// Datagrams of known connections that were forwarded to their agents.
     pub known: u64,
-    /// First packets that went to a candidate.
+    /// First packets that were forwarded to a candidate.
     pub first: u64,
-    /// Agents' datagrams that went to callers.
+    /// Agents' datagrams that were forwarded to callers.
     pub answered: u64,
-    /// Datagrams that the kernel did not take.
+    /// Datagrams that could not be sent.
     pub unsent: u64,
-    /// Frames that were truncated, unknown or not authentic.
+    /// Frames that were truncated, of an unknown or unexpected kind, or not authentic.
     pub bad_frames: u64,
-    /// Silent paths that were left for another source port.
+    /// Silent paths that were moved to another source port.
     pub moved_paths: u64,
-    /// Datagrams to an address that no service owns.
+    /// Datagrams for an address that no service has, and answers for an unknown service.
     pub unknown_address: u64,
-    /// Datagrams that were no QUIC.
+    /// Datagrams that were not QUIC or too short to open a connection.
     pub not_quic: u64,
-    /// Datagrams with a forged, foreign or retired connection ID.
+    /// Datagrams whose connection ID is forged, from another deployment or of a retired key epoch.
     pub unknown_connection: u64,
     /// Datagrams whose connection ID belongs to another service.
     pub other_service: u64,
-    /// First packets to a service without targets.
+    /// First packets for a service without a target that accepts new connections.
     pub no_target: u64,
 }
 
-impl PacketCounts {
-    /// Offers the counts as metrics, one series for each kind.
+impl PacketTotals {
+    /// Publishes the values as metrics, one series for each `kind`.
     pub(crate) fn publish(&self) {
         let kinds = [
             ("known", self.known),
@@ -88,26 +88,26 @@
 }
 
 impl PacketCounters {
-    /// Creates counters at zero.
+    /// Creates the counters with value 0.
     pub(crate) fn new() -> Self {
         Self::default()
     }
 
-    /// Adds one to a count.
-    pub(crate) fn add(&self, count: PacketCount) {
-        let counter = match count {
-            PacketCount::Known => &self.known,
-            PacketCount::First => &self.first,
-            PacketCount::Answered => &self.answered,
-            PacketCount::Unsent => &self.unsent,
-            PacketCount::BadFrame => &self.bad_frames,
-            PacketCount::MovedPath => &self.moved_paths,
+    /// Increments a counter.
+    pub(crate) fn increment(&self, kind: CounterKind) {
+        let counter = match kind {
+            CounterKind::Known => &self.known,
+            CounterKind::First => &self.first,
+            CounterKind::Answered => &self.answered,
+            CounterKind::Unsent => &self.unsent,
+            CounterKind::BadFrame => &self.bad_frames,
+            CounterKind::MovedPath => &self.moved_paths,
         };
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Adds one to the count of a cause.
-    pub(crate) fn add_drop(&self, cause: DropCause) {
+    /// Increments the counter of a drop cause.
+    pub(crate) fn increment_drop(&self, cause: DropCause) {
         let counter = match cause {
             DropCause::UnknownAddress => &self.unknown_address,
             DropCause::NotQuic => &self.not_quic,
@@ -118,10 +118,10 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns the counts now.
-    pub(crate) fn read(&self) -> PacketCounts {
+    /// Returns the current values.
+    pub(crate) fn totals(&self) -> PacketTotals {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-        PacketCounts {
+        PacketTotals {
             known: read(&self.known),
             first: read(&self.first),
             answered: read(&self.answered),
--- a/src/balancer/packet_path.rs
+++ b/src/balancer/packet_path.rs
@@ -8,7 +8,7 @@
 
 use super::{
     BalancerEvent, DropCause, ForwardVerdict, ListenerSet, PacketCounters, decide_datagram,
-    packet_counters::PacketCount,
+    packet_counters::CounterKind,
 };
 use crate::{
     clock::ProcessClock,
@@ -19,26 +19,26 @@
     tunnel::{DatagramSocket, FrameHeader, FrameKind, PathTable, ReceivedDatagram},
 };
 
-/// Everything that the tasks of the packet path share.
+/// Shared state of the packet path tasks.
 #[derive(Debug)]
 pub(crate) struct PacketPath {
     clock: ProcessClock,
     secret: SecretStore,
     table: Arc<ArcSwap<RouteTable>>,
     listeners: Arc<ListenerSet>,
-    tunnels: Vec<DatagramSocket>,
+    tunnel_sockets: Vec<DatagramSocket>,
     paths: Mutex<PathTable>,
     counters: PacketCounters,
 }
 
-/// The scratch space of one task.
+/// Reusable frame buffer of one task.
 #[derive(Debug, Default)]
 pub(crate) struct FrameScratch {
     frame: Vec<u8>,
 }
 
 impl PacketPath {
-    /// Binds the tunnel's source ports and ties the path together.
+    /// Binds the tunnel's source ports.
     ///
     /// # Errors
     ///
@@ -50,7 +50,7 @@
         tunnel_ip: Ipv4Addr,
         tunnel_ports: usize,
     ) -> io::Result<Self> {
-        let tunnels = (0..tunnel_ports)
+        let tunnel_sockets = (0..tunnel_ports)
             .map(|_| DatagramSocket::bind(SocketAddrV4::new(tunnel_ip, 0)))
             .collect::<io::Result<Vec<_>>>()?;
         Ok(Self {
@@ -58,33 +58,33 @@
             secret,
             table,
             listeners,
-            paths: Mutex::new(PathTable::new(tunnels.len())),
-            tunnels,
+            paths: Mutex::new(PathTable::new(tunnel_sockets.len())),
+            tunnel_sockets,
             counters: PacketCounters::new(),
         })
     }
 
-    /// Returns the tunnel's sockets.
-    pub(crate) fn tunnels(&self) -> &[DatagramSocket] {
-        &self.tunnels
+    /// Returns the tunnel's sockets, one for each source port.
+    pub(crate) fn tunnel_sockets(&self) -> &[DatagramSocket] {
+        &self.tunnel_sockets
     }
 
-    /// Returns the counters.
+    /// Returns the packet counters.
     pub(crate) fn counters(&self) -> &PacketCounters {
         &self.counters
     }
 
-    /// Returns the number of agents whose paths are watched.
+    /// Returns the number of agents with monitored paths.
     pub(crate) fn watched_paths(&self) -> usize {
         self.lock_paths().len()
     }
 
-    /// Forgets the paths that carried nothing for a while.
+    /// Removes the paths that have been unused for too long.
     pub(crate) fn remove_idle_paths(&self) {
         self.lock_paths().remove_idle(self.clock.now());
     }
 
-    /// Tells the agents in use to answer by other balancers from now on.
+    /// Tells the agents in use to send their answers through other balancers.
     pub(crate) fn announce_leave(&self, scratch: &mut FrameScratch) {
         let peers = self.lock_paths().peers();
         for (agent, port) in peers {
@@ -93,28 +93,28 @@
                 &self.secret.keys(),
                 &mut scratch.frame,
             );
-            let tunnel = &self.tunnels[port];
-            if tunnel.try_send(agent, &scratch.frame, 0, None).is_err() {
-                self.counters.add(PacketCount::Unsent);
+            let socket = &self.tunnel_sockets[port];
+            if socket.try_send(agent, &scratch.frame, 0, None).is_err() {
+                self.counters.increment(CounterKind::Unsent);
             }
         }
     }
 
-    /// Asks the agents that answer nowhere whether they are well again.
-    pub(crate) fn probe_suspects(&self, scratch: &mut FrameScratch) {
+    /// Sends the probes that are due to agents with doubtful or silent paths.
+    pub(crate) fn send_due_probes(&self, scratch: &mut FrameScratch) {
         let probes = self.lock_paths().due_probes(self.clock.now());
         for (agent, choice) in probes {
             FrameHeader::new(FrameKind::Probe, ServiceNumber::new(0), agent)
                 .with_echo(choice.echo)
                 .write(&[], &self.secret.keys(), &mut scratch.frame);
-            let tunnel = &self.tunnels[choice.port];
-            if tunnel.try_send(agent, &scratch.frame, 0, None).is_err() {
-                self.counters.add(PacketCount::Unsent);
+            let socket = &self.tunnel_sockets[choice.port];
+            if socket.try_send(agent, &scratch.frame, 0, None).is_err() {
+                self.counters.increment(CounterKind::Unsent);
             }
         }
     }
 
-    /// Sends a caller's datagram on its way to an agent.
+    /// Forwards a caller's datagram to an agent or drops it.
     pub(crate) fn forward(
         &self,
         arrived_at: SocketAddrV4,
@@ -128,19 +128,19 @@
         };
         match verdict {
             ForwardVerdict::Known { service, target } => {
-                self.counters.add(PacketCount::Known);
+                self.counters.increment(CounterKind::Known);
                 self.send_frame(service, target, TargetChain::new(), datagram, scratch);
             }
             ForwardVerdict::First { service, chain } => {
-                self.counters.add(PacketCount::First);
-                self.send_first(service, chain, datagram, scratch);
+                self.counters.increment(CounterKind::First);
+                self.send_first_packet(service, chain, datagram, scratch);
             }
             ForwardVerdict::Drop(cause) => self.drop_datagram(cause, arrived_at, datagram),
         }
     }
 
-    /// Sends an agent's datagram on its way to the caller.
-    pub(crate) fn answer(
+    /// Handles a frame from an agent that arrived on the source port with index `port`.
+    pub(crate) fn handle_frame(
         &self,
         port: usize,
         received: &ReceivedDatagram<'_>,
@@ -150,24 +150,24 @@
         let (header, payload) = match read {
             Ok(frame) => frame,
             Err(error) => {
-                self.counters.add(PacketCount::BadFrame);
+                self.counters.increment(CounterKind::BadFrame);
                 log_event!(debug, BalancerEvent::FrameRefused, source = %received.source, %error);
                 return;
             }
         };
         match header.kind {
             FrameKind::Answer => {
-                self.answer_caller(port, received.source, &header, payload, scratch);
+                self.forward_answer(port, received.source, &header, payload, scratch);
             }
             FrameKind::Echo => self.take_echo(received.source, &header),
             FrameKind::Probe => self.send_echo(port, received.source, &header, scratch),
             FrameKind::Forward | FrameKind::PassOn | FrameKind::Peer | FrameKind::Leave => {
-                self.counters.add(PacketCount::BadFrame);
+                self.counters.increment(CounterKind::BadFrame);
             }
         }
     }
 
-    fn send_first(
+    fn send_first_packet(
         &self,
         service: ServiceNumber,
         chain: TargetChain,
@@ -194,7 +194,7 @@
     ) {
         let choice = self.lock_paths().choose(target.address(), self.clock.now());
         if choice.moved {
-            self.counters.add(PacketCount::MovedPath);
+            self.counters.increment(CounterKind::MovedPath);
             log_event!(warn, BalancerEvent::PathLeft, %target, port = choice.port);
         }
         FrameHeader::new(FrameKind::Forward, service, datagram.source)
@@ -202,16 +202,16 @@
             .with_echo(choice.echo)
             .with_ecn(datagram.ecn)
             .write(datagram.payload, &self.secret.keys(), &mut scratch.frame);
-        let tunnel = &self.tunnels[choice.port];
-        if tunnel
+        let socket = &self.tunnel_sockets[choice.port];
+        if socket
             .try_send(target.address(), &scratch.frame, datagram.ecn, None)
             .is_err()
         {
-            self.counters.add(PacketCount::Unsent);
+            self.counters.increment(CounterKind::Unsent);
         }
     }
 
-    fn answer_caller(
+    fn forward_answer(
         &self,
         port: usize,
         agent: SocketAddrV4,
@@ -222,7 +222,7 @@
         self.send_echo(port, agent, header, scratch);
         let table = self.table.load();
         let Some(pool) = table.pool(header.service) else {
-            self.counters.add_drop(DropCause::UnknownAddress);
+            self.counters.increment_drop(DropCause::UnknownAddress);
             return;
         };
         let address = pool.route().spec.address;
@@ -230,8 +230,8 @@
             .listeners
             .send(address, header.caller, payload, header.ecn)
         {
-            Ok(()) => self.counters.add(PacketCount::Answered),
-            Err(_) => self.counters.add(PacketCount::Unsent),
+            Ok(()) => self.counters.increment(CounterKind::Answered),
+            Err(_) => self.counters.increment(CounterKind::Unsent),
         }
     }
 
@@ -248,11 +248,11 @@
         FrameHeader::new(FrameKind::Echo, header.service, header.caller)
             .with_echo(header.echo)
             .write(&[], &self.secret.keys(), &mut scratch.frame);
-        if self.tunnels[port]
+        if self.tunnel_sockets[port]
             .try_send(agent, &scratch.frame, 0, None)
             .is_err()
         {
-            self.counters.add(PacketCount::Unsent);
+            self.counters.increment(CounterKind::Unsent);
         }
     }
 
@@ -268,7 +268,7 @@
         arrived_at: SocketAddrV4,
         datagram: &ReceivedDatagram<'_>,
     ) {
-        self.counters.add_drop(cause);
+        self.counters.increment_drop(cause);
         log_event!(
             debug,
             BalancerEvent::DatagramDropped,
--- a/src/balancer/tests/datagram_verdicts.rs
+++ b/src/balancer/tests/datagram_verdicts.rs
@@ -1,4 +1,4 @@
-//! What becomes of good, bad and hostile datagrams.
+//! Tests of forwarding decisions for valid, malformed and forged datagrams.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -16,14 +16,14 @@
     secret::{DeploymentSecret, KeyRing},
 };
 
-const FIRST_BYTES: usize = 1_200;
+const OPENING_DATAGRAM_BYTES: usize = 1_200;
 
 fn address(last: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, last), 443)
 }
 
 fn keys() -> KeyRing {
-    KeyRing::new(&DeploymentSecret::random(1)).expect("a good secret")
+    KeyRing::new(&DeploymentSecret::random(1)).expect("a valid secret")
 }
 
 fn service(number: u8) -> ServiceRoute {
@@ -68,11 +68,11 @@
         targets: vec![target(1, 1), target(1, 2), target(2, 1)],
         manifest_version: 1,
     };
-    table.replace(snapshot).expect("first state");
+    table.replace(snapshot).expect("initial snapshot");
     table
 }
 
-fn established(route: ConnectionRoute, keys: &KeyRing) -> Vec<u8> {
+fn established_packet(route: ConnectionRoute, keys: &KeyRing) -> Vec<u8> {
     let mut datagram = vec![0x40];
     datagram.extend_from_slice(&route.seal(keys));
     datagram.extend_from_slice(&[7; 30]);
@@ -88,28 +88,28 @@
     }
 }
 
-/// Returns a first packet with a destination ID of `id`.
+/// Returns a first packet with the destination connection ID `id`.
 fn first_packet(id: &[u8]) -> Vec<u8> {
     let mut datagram = vec![0xc0, 0, 0, 0, 1, u8::try_from(id.len()).expect("short")];
     datagram.extend_from_slice(id);
-    datagram.resize(FIRST_BYTES, 0);
+    datagram.resize(OPENING_DATAGRAM_BYTES, 0);
     datagram
 }
 
 #[test]
-fn a_connection_goes_on_whatever_table_the_balancer_holds() {
+fn a_connection_keeps_its_target_when_the_route_table_changes() {
     let keys = keys();
-    let datagram = established(route_of(&target(1, 1), 9), &keys);
-    let wanted = ForwardVerdict::Known {
+    let datagram = established_packet(route_of(&target(1, 1), 9), &keys);
+    let expected = ForwardVerdict::Known {
         service: ServiceNumber::new(1),
         target: target(1, 1).key,
     };
     let mut table = table();
     assert_eq!(
         decide_datagram(&table, &keys, address(1), &datagram),
-        wanted
+        expected
     );
-    let emptied = RouteDelta {
+    let removal_delta = RouteDelta {
         after: FeedRevision::new(1),
         revision: FeedRevision::new(2),
         changes: vec![
@@ -118,28 +118,30 @@
         ],
         manifest_version: 1,
     };
-    table.update(&emptied).expect("a next update");
+    table.update(&removal_delta).expect("the next delta");
     assert_eq!(
         decide_datagram(&table, &keys, address(1), &datagram),
-        wanted
+        expected
     );
 }
 
 #[test]
 fn a_connection_id_of_one_service_is_dropped_at_the_address_of_another() {
     let keys = keys();
-    let datagram = established(route_of(&target(1, 1), 9), &keys);
+    let datagram = established_packet(route_of(&target(1, 1), 9), &keys);
     let verdict = decide_datagram(&table(), &keys, address(2), &datagram);
     assert_eq!(verdict, ForwardVerdict::Drop(DropCause::OtherService));
 }
 
 #[test]
 fn bad_datagrams_are_dropped_with_their_cause() {
-    let (keys, foreign) = (keys(), keys());
+    let (keys, other_keys) = (keys(), keys());
     let table = table();
-    let verdict = |place, datagram: &[u8]| decide_datagram(&table, &keys, address(place), datagram);
+    let verdict = |service_number, datagram: &[u8]| {
+        decide_datagram(&table, &keys, address(service_number), datagram)
+    };
     let drop = ForwardVerdict::Drop;
-    let forged = established(route_of(&target(1, 1), 9), &foreign);
+    let forged = established_packet(route_of(&target(1, 1), 9), &other_keys);
     assert_eq!(verdict(1, &forged), drop(DropCause::UnknownConnection));
     assert_eq!(verdict(1, b""), drop(DropCause::NotQuic));
     assert_eq!(verdict(1, b"GET / HTTP"), drop(DropCause::NotQuic));
@@ -151,8 +153,8 @@
         verdict(3, &first_packet(b"eightlet")),
         drop(DropCause::NoTarget)
     );
-    let short = &first_packet(b"eightlet")[..1_199];
-    assert_eq!(verdict(1, short), drop(DropCause::NotQuic));
+    let too_short = &first_packet(b"eightlet")[..1_199];
+    assert_eq!(verdict(1, too_short), drop(DropCause::NotQuic));
     assert_eq!(
         verdict(1, &first_packet(b"seven__")),
         drop(DropCause::NotQuic)
@@ -161,18 +163,18 @@
 
 proptest! {
     #[test]
-    fn no_datagram_crosses_into_another_service(
-        bytes in prop::collection::vec(any::<u8>(), 0..1_400), place in 1u8..=2,
+    fn no_datagram_reaches_another_service(
+        bytes in prop::collection::vec(any::<u8>(), 0..1_400), service_number in 1u8..=2,
     ) {
         let (keys, table) = (keys(), table());
-        match decide_datagram(&table, &keys, address(place), &bytes) {
+        match decide_datagram(&table, &keys, address(service_number), &bytes) {
             ForwardVerdict::Known { service, target } => {
-                prop_assert_eq!(service, ServiceNumber::new(u16::from(place)));
-                prop_assert_eq!(target.address().ip().octets()[2], place);
+                prop_assert_eq!(service, ServiceNumber::new(u16::from(service_number)));
+                prop_assert_eq!(target.address().ip().octets()[2], service_number);
             }
             ForwardVerdict::First { service, chain } => {
-                prop_assert_eq!(service, ServiceNumber::new(u16::from(place)));
-                prop_assert!(chain.iter().all(|target| target.address().ip().octets()[2] == place));
+                prop_assert_eq!(service, ServiceNumber::new(u16::from(service_number)));
+                prop_assert!(chain.iter().all(|target| target.address().ip().octets()[2] == service_number));
             }
             ForwardVerdict::Drop(_) => {}
         }
--- a/src/route/connection_route.rs
+++ b/src/route/connection_route.rs
@@ -40,7 +40,7 @@
     #[must_use]
     pub fn seal(&self, keys: &KeyRing) -> [u8; CONNECTION_ID_BYTES] {
         let epoch = keys.active();
-        let mut block = GenericArray::from(self.to_plaintext());
+        let mut block = GenericArray::from(self.plaintext_block());
         epoch.route_cipher.encrypt_block(&mut block);
         let mut bytes = [0; CONNECTION_ID_BYTES];
         bytes[0] = epoch.epoch_bits << EPOCH_SHIFT;
@@ -65,7 +65,7 @@
         bytes.first().map(|byte| byte >> EPOCH_SHIFT)
     }
 
-    fn to_plaintext(&self) -> [u8; BLOCK_BYTES] {
+    fn plaintext_block(&self) -> [u8; BLOCK_BYTES] {
         let address = self.target.address();
         let nonce = (self.nonce & NONCE_MASK).to_be_bytes();
         let mut block = [0; BLOCK_BYTES];
