--- a/src/balancer/forward_verdict.rs
+++ b/src/balancer/forward_verdict.rs
@@ -32,7 +32,7 @@
 pub enum DropCause {
     /// No service has the address.
     UnknownAddress,
-    /// It is not QUIC, or it is too short to open a connection.
+    /// It is not QUIC, or too short for its header or for opening a connection.
     NotQuic,
     /// Its connection ID is forged, from another deployment or of a retired key epoch.
     UnknownConnection,
--- a/src/balancer/packet_counters.rs
+++ b/src/balancer/packet_counters.rs
@@ -55,7 +55,7 @@
     pub moved_paths: u64,
     /// Datagrams for an address that no service has, and answers for an unknown service.
     pub unknown_address: u64,
-    /// Datagrams that were not QUIC or too short to open a connection.
+    /// Datagrams that were not QUIC, or too short for their header or for opening a connection.
     pub not_quic: u64,
     /// Datagrams whose connection ID is forged, from another deployment or of a retired key epoch.
     pub unknown_connection: u64,
--- a/src/route/target_group.rs
+++ b/src/route/target_group.rs
@@ -3,8 +3,8 @@
 use super::TargetEntry;
 use crate::key::TargetKey;
 
-/// Maximum number of targets in a leaf; every target of a leaf is scored.
-const MAX_LEAF_TARGETS: usize = 64;
+/// Largest group that is not split; each of its targets is scored.
+const MAX_UNSPLIT_TARGETS: usize = 64;
 /// Number of subgroups that a larger group is split into at each level.
 const FAN_OUT: usize = 16;
 /// Bits of a target's hash that select its subgroup at one level.
@@ -42,7 +42,7 @@
             .iter()
             .map(|entry| u64::from(entry.effective_weight()))
             .sum();
-        let node = if entries.len() <= MAX_LEAF_TARGETS || level >= MAX_LEVEL {
+        let node = if entries.len() <= MAX_UNSPLIT_TARGETS || level >= MAX_LEVEL {
             GroupNode::Leaf(entries)
         } else {
             GroupNode::Branch(split_targets(entries, level))
--- a/src/route/target_route.rs
+++ b/src/route/target_route.rs
@@ -27,9 +27,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetPhase {
-    /// Started recently; receives a growing share of new work.
+    /// Started recently; accepts a growing share of new work.
     Warming,
-    /// Receives its full share of new work.
+    /// Accepts its full share of new work.
     Serving,
     /// Finishes its current work and accepts no new work.
     Leaving,
--- a/src/tunnel/datagram_socket.rs
+++ b/src/tunnel/datagram_socket.rs
@@ -58,7 +58,7 @@
     /// Fails when the address is in use or not a local address.
     pub(crate) fn bind(address: SocketAddrV4) -> io::Result<Self> {
         let socket = Socket::new(Domain::IPV4, Type::DGRAM, Some(Protocol::UDP))?;
-        // The kernel may grant smaller buffers; that only makes bursts more likely to be dropped.
+        // The kernel may grant smaller buffers; then bursts are more likely to be dropped.
         let _ = socket.set_recv_buffer_size(SOCKET_BUFFER_BYTES);
         let _ = socket.set_send_buffer_size(SOCKET_BUFFER_BYTES);
         socket.bind(&address.into())?;
--- a/src/tunnel/tests.rs
+++ b/src/tunnel/tests.rs
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_late_echo_of_an_abandoned_path_does_not_clear_the_new_one() {
+fn a_late_echo_of_an_abandoned_path_does_not_clear_suspicion() {
     let mut table = PathTable::new(2);
     let late_echo = table.choose(address(1), ClockMillis::ORIGIN).echo;
     send_frames(&mut table, 50, 3_000, |_| false);
