--- a/src/agent/admission/accept_rule.rs
+++ b/src/agent/admission/accept_rule.rs
@@ -3,36 +3,36 @@
 use super::{PeerLoad, TargetLoad};
 use crate::clock::{ClockMillis, SpanMillis};
 
-/// How a serving agent decides on a connection that others could take.
+/// How a serving agent decides on a connection that another candidate could accept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum AcceptRule {
-    /// Accepts whatever the hash brings.
+    /// Accepts every connection, as hashing assigned it.
     HashOnly,
-    /// Passes on when the own load has reached a share of the slots.
+    /// Passes on when this agent's load reaches a share of its slots.
     Threshold {
-        /// The load, in thousandths of the slots, from which on to pass on.
+        /// The lowest load, in thousandths of the slots, at which to pass on.
         load_permille: u32,
     },
-    /// Passes on when the next candidate has clearly less to do.
+    /// Passes on when the next candidate is less loaded by a margin.
     LeastLoadedOfTwo {
-        /// How much less the next one must have, in thousandths of the slots.
+        /// The load difference, in thousandths of the slots, that decides.
         margin_permille: u32,
-        /// The age from which on a load report is not believed.
+        /// Load reports older than this are ignored.
         stale_after: SpanMillis,
     },
 }
 
 impl AcceptRule {
-    /// The rule that is in force unless settings say otherwise.
+    /// The default rule.
     pub(crate) const DEFAULT: Self = Self::LeastLoadedOfTwo {
         margin_permille: 250,
         stale_after: SpanMillis::new(1_000),
     };
-    /// The load at which a target is taken for busy when its peer is unknown.
+    /// Load from which to pass on when the next candidate's load is unknown or stale.
     const BUSY_PERMILLE: u32 = 1_000;
 
-    /// Tells whether the next candidate should have the connection.
+    /// Returns whether to pass the connection on to the next candidate.
     pub(super) fn prefers_next(
         self,
         load: TargetLoad,
@@ -46,15 +46,15 @@
                 margin_permille,
                 stale_after,
             } => match next.filter(|report| now.since(report.seen) <= stale_after) {
-                Some(report) => is_clearly_lighter(report.load, load, margin_permille),
+                Some(report) => is_less_loaded(report.load, load, margin_permille),
                 None => load.work_permille() >= Self::BUSY_PERMILLE,
             },
         }
     }
 }
 
-/// Compares work first; connections decide where work is about equal.
-fn is_clearly_lighter(other: TargetLoad, own: TargetLoad, margin: u32) -> bool {
+/// Compares load by requests; by connections where requests differ by less than `margin`.
+fn is_less_loaded(other: TargetLoad, own: TargetLoad, margin: u32) -> bool {
     if other.connections >= other.connection_limit {
         return false;
     }
@@ -63,6 +63,6 @@
     if own_work.abs_diff(other_work) >= margin {
         return other_work < own_work;
     }
-    // A twentieth more, and two, keep equal targets from passing to and fro.
+    // 5 % plus two connections, so that equal targets don't pass connections back and forth.
     u64::from(own.connections) * 20 > u64::from(other.connections) * 21 + 40
 }
--- a/src/agent/admission/admission_gate.rs
+++ b/src/agent/admission/admission_gate.rs
@@ -6,29 +6,29 @@
 };
 use crate::clock::{ClockMillis, SpanMillis};
 
-/// How long a target takes to reach its full share.
-const WARMING_MILLIS: u64 = 30_000;
-/// The share that a target takes at first, in thousandths.
-const FIRST_SHARE_PERMILLE: u64 = 100;
-/// When a caller should come back that found no room.
+/// How long a target warms up before it accepts its full share.
+const WARM_UP_MILLIS: u64 = 30_000;
+/// The share that a warming target accepts at first, in thousandths.
+const INITIAL_SHARE_PERMILLE: u64 = 100;
+/// `retry_after` when the last candidate is at its connection limit.
 const FULL_RETRY_MILLIS: SpanMillis = SpanMillis::new(1_000);
-/// When a caller should come back that found only leaving targets.
+/// `retry_after` when the last candidate is leaving.
 const LEAVING_RETRY_MILLIS: SpanMillis = SpanMillis::new(2_000);
 
-/// How the gate has decided since the start.
+/// Counts of the gate's verdicts since the start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize)]
 pub(crate) struct AdmissionCounts {
-    /// Connections that were accepted.
+    /// Accepted connections.
     pub(crate) accepted: u64,
-    /// Connections that went to the next candidate.
+    /// Connections passed on to the next candidate.
     pub(crate) passed_on: u64,
-    /// Connections that were told to come back later.
+    /// Connections refused with a `retry_after`.
     pub(crate) refused: u64,
-    /// Verdicts that are remembered.
+    /// Verdicts currently in the table.
     pub(crate) remembered: usize,
 }
 
-/// Decides whether this agent takes a new connection or passes it on.
+/// Decides whether this agent accepts, passes on or refuses a new connection.
 #[derive(Debug)]
 pub(crate) struct AdmissionGate {
     rule: AcceptRule,
@@ -48,22 +48,22 @@
         }
     }
 
-    /// Puts another phase in force.
+    /// Changes the phase.
     pub(crate) fn set_phase(&mut self, phase: AgentPhase) {
         self.phase = phase;
     }
 
-    /// Returns the phase in force; a warming target serves once it is warm.
+    /// Returns the phase; a target that has warmed up changes to serving.
     pub(crate) fn phase(&mut self, now: ClockMillis) -> AgentPhase {
         if let AgentPhase::Warming { since } = self.phase
-            && now.since(since).millis() >= WARMING_MILLIS
+            && now.since(since).millis() >= WARM_UP_MILLIS
         {
             self.phase = AgentPhase::Serving;
         }
         self.phase
     }
 
-    /// Returns how the gate has decided.
+    /// Returns the verdict counts.
     pub(crate) fn counts(&self) -> AdmissionCounts {
         AdmissionCounts {
             remembered: self.verdicts.len(),
@@ -73,8 +73,8 @@
 
     /// Returns the verdict on a first packet that arrives at `now`.
     ///
-    /// Every first packet of a connection meets the same verdict, but that the
-    /// last candidate of a chain never passes on: it accepts or refuses.
+    /// Every first packet of a connection gets the same verdict, except that
+    /// the last candidate never passes on: it accepts or refuses.
     pub(crate) fn admit(
         &mut self,
         offer: ConnectionOffer,
@@ -87,7 +87,7 @@
             return verdict;
         }
         let verdict = self.decide(offer, load, now);
-        self.verdicts.remember(offer.cid, verdict, now);
+        self.verdicts.insert(offer.cid, verdict, now);
         self.count(verdict);
         verdict
     }
@@ -109,11 +109,11 @@
             },
             CandidatePlace::Last => AdmissionVerdict::Accept,
             CandidatePlace::Followed if full => AdmissionVerdict::PassOn,
-            CandidatePlace::Followed => self.decide_followed(phase, offer, load, now),
+            CandidatePlace::Followed => self.decide_with_next(phase, offer, load, now),
         }
     }
 
-    fn decide_followed(
+    fn decide_with_next(
         &self,
         phase: AgentPhase,
         offer: ConnectionOffer,
@@ -123,7 +123,7 @@
         let pass_on = match phase {
             AgentPhase::Leaving => true,
             AgentPhase::Warming { since } => {
-                offer.cid.draw_permille() >= warming_share(now.since(since))
+                offer.cid.hash_permille() >= warm_up_share_permille(now.since(since))
                     || self.rule.prefers_next(load, offer.next, now)
             }
             AgentPhase::Serving => self.rule.prefers_next(load, offer.next, now),
@@ -144,8 +144,8 @@
     }
 }
 
-/// Returns the share of connections, in thousandths, after warming for `span`.
-fn warming_share(span: SpanMillis) -> u64 {
-    let grown = (1_000 - FIRST_SHARE_PERMILLE) * span.millis() / WARMING_MILLIS;
-    (FIRST_SHARE_PERMILLE + grown).min(1_000)
+/// Returns the share of connections to accept, in thousandths, `span` into the warm-up.
+fn warm_up_share_permille(span: SpanMillis) -> u64 {
+    let growth = (1_000 - INITIAL_SHARE_PERMILLE) * span.millis() / WARM_UP_MILLIS;
+    (INITIAL_SHARE_PERMILLE + growth).min(1_000)
 }
--- a/src/agent/admission/admission_verdict.rs
+++ b/src/agent/admission/admission_verdict.rs
@@ -1,15 +1,15 @@
 use crate::clock::SpanMillis;
 
-/// The answer to a new connection.
+/// The decision on a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AdmissionVerdict {
-    /// This agent ends the connection.
+    /// This agent accepts the connection.
     Accept,
-    /// The next candidate of the chain gets the datagram.
+    /// The datagram is forwarded to the next candidate.
     PassOn,
-    /// The caller is told to come back later; no other candidate is left.
+    /// The connection is refused; no other candidate is left.
     Refuse {
-        /// When to come back.
+        /// How long the caller should wait before it tries again.
         retry_after: SpanMillis,
     },
 }
--- a/src/agent/admission/agent_phase.rs
+++ b/src/agent/admission/agent_phase.rs
@@ -2,17 +2,17 @@
 
 use crate::clock::ClockMillis;
 
-/// What an agent does with new connections.
+/// The agent's phase, which decides how it handles new connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum AgentPhase {
-    /// Takes a growing share of them.
+    /// Accepts a growing share of them.
     Warming {
-        /// When the upstream began to answer.
+        /// When the upstream began to respond.
         since: ClockMillis,
     },
-    /// Takes its full share.
+    /// Accepts its full share.
     Serving,
-    /// Takes none.
+    /// Accepts none.
     Leaving,
 }
--- a/src/agent/admission/connection_offer.rs
+++ b/src/agent/admission/connection_offer.rs
@@ -3,53 +3,53 @@
 
 use crate::clock::ClockMillis;
 
-/// The longest connection ID of QUIC version 1, in bytes.
-const LONGEST_CID: usize = 20;
-/// The seed of the hash that decides the share of a warming target.
-const WARMING_SEED: u64 = 0x7761_726d;
+/// The maximum length of a QUIC version 1 connection ID.
+const MAX_CID_BYTES: usize = 20;
+/// Seed of the hash that selects the connections a warming target accepts.
+const WARM_UP_HASH_SEED: u64 = 0x7761_726d;
 
-/// The connection ID that a client chose for its first packets.
+/// The destination connection ID that a client chose for its first packets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) struct ClientCid {
     length: u8,
-    bytes: [u8; LONGEST_CID],
+    bytes: [u8; MAX_CID_BYTES],
 }
 
 impl ClientCid {
-    /// Copies an ID; returns nothing if it is longer than QUIC allows.
+    /// Copies an ID; returns `None` if it is longer than QUIC version 1 allows.
     pub(crate) fn new(source: &[u8]) -> Option<Self> {
         let length = u8::try_from(source.len()).ok()?;
-        let mut bytes = [0; LONGEST_CID];
+        let mut bytes = [0; MAX_CID_BYTES];
         bytes.get_mut(..source.len())?.copy_from_slice(source);
         Some(Self { length, bytes })
     }
 
-    /// Returns the same number below a thousand for the same ID.
-    pub(super) fn draw_permille(&self) -> u64 {
+    /// Hashes the ID to a number below 1000.
+    pub(super) fn hash_permille(&self) -> u64 {
         let bytes = &self.bytes[..usize::from(self.length)];
-        xxh3_64_with_seed(bytes, WARMING_SEED) % 1_000
+        xxh3_64_with_seed(bytes, WARM_UP_HASH_SEED) % 1_000
     }
 }
 
-/// Where an agent stands in the chain of candidates of a first packet.
+/// An agent's position in the candidate list of a first packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CandidatePlace {
-    /// Another candidate follows.
+    /// Another candidate follows this agent.
     Followed,
-    /// No other candidate follows; this agent has to answer.
+    /// No candidate follows: this agent must accept or refuse.
     Last,
 }
 
-/// How much a target has to do.
+/// The load of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct TargetLoad {
-    /// Requests that run or wait.
+    /// Requests that run or wait for a slot.
     pub(crate) requests: u32,
-    /// Requests that run at most at once.
+    /// The maximum number of concurrent requests.
     pub(crate) slots: u32,
     /// Open connections.
     pub(crate) connections: u32,
-    /// Connections that are open at most at once.
+    /// The maximum number of open connections.
     pub(crate) connection_limit: u32,
 }
 
@@ -60,22 +60,22 @@
     }
 }
 
-/// What a peer last told of its load.
+/// The last load report of a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct PeerLoad {
-    /// The load that it told.
+    /// The reported load.
     pub(crate) load: TargetLoad,
-    /// When the report came in.
+    /// When the report arrived.
     pub(crate) seen: ClockMillis,
 }
 
-/// A new connection, as far as the decision needs to know it.
+/// What the admission decision needs to know about a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ConnectionOffer {
-    /// The ID that every first packet of the connection carries.
+    /// The ID on every first packet of the connection.
     pub(crate) cid: ClientCid,
-    /// Where this agent stands in the chain.
+    /// This agent's position in the candidate list.
     pub(crate) place: CandidatePlace,
-    /// What the next candidate last told, if there is one and it did.
+    /// The next candidate's last load report, if there is one.
     pub(crate) next: Option<PeerLoad>,
 }
--- a/src/agent/admission/mod.rs
+++ b/src/agent/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Whether a new connection is accepted, passed on or refused.
+//! Admission of new connections: accept, pass on or refuse.
 
 mod accept_rule;
 mod admission_gate;
--- a/src/agent/admission/tests.rs
+++ b/src/agent/admission/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the admission of connections.
+//! Tests of connection admission.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -54,14 +54,14 @@
     #![proptest_config(fixed_cases(256))]
 
     #[test]
-    fn first_packets_of_one_connection_meet_one_verdict(
+    fn first_packets_of_one_connection_get_one_verdict(
         rule in any_rule(),
         phases in prop::collection::vec(any_phase(), 1..20),
         loads in prop::collection::vec((0u32..12, 0u32..2_100, 0u32..12), 1..20),
         lasts in prop::collection::vec(any::<bool>(), 1..20),
     ) {
         let mut gate = AdmissionGate::new(rule, AgentPhase::Serving);
-        let mut settled = None;
+        let mut final_verdict = None;
         for (step, ((phase, (own, open, next)), last)) in
             phases.into_iter().zip(loads).zip(lasts).enumerate()
         {
@@ -72,8 +72,8 @@
             if last {
                 prop_assert_ne!(verdict, AdmissionVerdict::PassOn);
             }
-            match settled {
-                None | Some(AdmissionVerdict::PassOn) => settled = Some(verdict),
+            match final_verdict {
+                None | Some(AdmissionVerdict::PassOn) => final_verdict = Some(verdict),
                 Some(earlier) => prop_assert_eq!(verdict, earlier),
             }
         }
@@ -89,8 +89,8 @@
 }
 
 #[test]
-fn a_cold_target_takes_a_growing_share() {
-    let share_after = |millis| {
+fn a_warming_target_accepts_a_growing_share() {
+    let accepted_after = |millis| {
         let since = ClockMillis::ORIGIN;
         let mut gate = AdmissionGate::new(AcceptRule::HashOnly, AgentPhase::Warming { since });
         (0..1_000)
@@ -101,16 +101,16 @@
             })
             .count()
     };
-    assert!((60..140).contains(&share_after(0)));
-    assert!((480..620).contains(&share_after(15_000)));
-    assert_eq!(share_after(30_000), 1_000);
+    assert!((60..140).contains(&accepted_after(0)));
+    assert!((480..620).contains(&accepted_after(15_000)));
+    assert_eq!(accepted_after(30_000), 1_000);
 }
 
 #[rstest]
 #[case(2_000, CandidatePlace::Followed, AdmissionVerdict::PassOn)]
 #[case(2_000, CandidatePlace::Last, AdmissionVerdict::Refuse { retry_after: SpanMillis::new(1_000) })]
 #[case(1_999, CandidatePlace::Last, AdmissionVerdict::Accept)]
-fn the_limit_of_connections_holds(
+fn the_connection_limit_is_enforced(
     #[case] open: u32,
     #[case] place: CandidatePlace,
     #[case] expected: AdmissionVerdict,
@@ -126,7 +126,7 @@
 #[case::full_peer(6, Some(load(0, 2_000)), 0, AdmissionVerdict::Accept)]
 #[case::old_report_busy(6, Some(load(0, 0)), 5_000, AdmissionVerdict::PassOn)]
 #[case::old_report_idle(1, Some(load(0, 0)), 5_000, AdmissionVerdict::Accept)]
-fn the_lighter_of_two_takes_the_connection(
+fn the_less_loaded_of_two_accepts_the_connection(
     #[case] own: u32,
     #[case] next: Option<TargetLoad>,
     #[case] now: u64,
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn the_table_of_verdicts_is_bounded_and_expires() {
+fn the_verdict_table_is_bounded_and_expires() {
     let mut gate = AdmissionGate::new(AcceptRule::HashOnly, AgentPhase::Serving);
     for number in 0..20_000 {
         let offer = offer(number, CandidatePlace::Followed, None);
--- a/src/agent/slot/mod.rs
+++ b/src/agent/slot/mod.rs
@@ -1,11 +1,12 @@
-//! Slots of the target, the queue before them, and the counts that are limited.
+//! Concurrency slots of the target, the queue for them, and limits on open connections and
+//! streams.
 
 mod open_count;
 mod service_time;
 mod slot_limits;
 mod slot_queue;
 mod slot_verdict;
-mod waiting_line;
+mod wait_queue;
 
 pub(crate) use open_count::{CountVerdict, OpenCount};
 pub(crate) use service_time::ServiceTime;
--- a/src/agent/slot/open_count.rs
+++ b/src/agent/slot/open_count.rs
@@ -1,9 +1,9 @@
-/// What became of a wish to open one more.
+/// The result of opening a connection or stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CountVerdict {
-    /// It is counted as open until it is closed.
+    /// Counted as open until `close` is called.
     Open,
-    /// The limit is reached; nothing was counted.
+    /// The limit is reached; the count did not change.
     Full,
 }
 
@@ -16,7 +16,7 @@
 }
 
 impl OpenCount {
-    /// Creates a count of none with room for `limit`.
+    /// Creates an empty count.
     pub(crate) fn new(limit: u32) -> Self {
         Self {
             open: 0,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Counts one more if there is room.
+    /// Counts one more unless the limit is reached.
     pub(crate) fn open(&mut self) -> CountVerdict {
         if self.open >= self.limit {
             self.refused += 1;
@@ -35,22 +35,22 @@
         CountVerdict::Open
     }
 
-    /// Counts one less.
+    /// Counts one fewer.
     pub(crate) fn close(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
 
-    /// Puts a changed limit in force; what is open stays open.
+    /// Changes the limit; does not close what exceeds it.
     pub(crate) fn set_limit(&mut self, limit: u32) {
         self.limit = limit;
     }
 
-    /// Returns how many are open.
+    /// Returns the number of open ones.
     pub(crate) fn count(&self) -> u32 {
         self.open
     }
 
-    /// Returns how many were refused since the start.
+    /// Returns the number refused since the start.
     pub(crate) fn refused(&self) -> u64 {
         self.refused
     }
--- a/src/agent/slot/slot_limits.rs
+++ b/src/agent/slot/slot_limits.rs
@@ -1,31 +1,31 @@
 use crate::manifest::{RequestPriority, ServiceSpec};
 
-/// Slots that bulk requests leave free where urgent ones may come.
-const URGENT_RESERVE: u16 = 1;
+/// Slots kept free of bulk requests on a service that has urgent ones.
+const URGENT_RESERVE_SLOTS: u16 = 1;
 
 /// The limits of one target's slots and queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct SlotLimits {
-    /// Requests that run at once.
+    /// The maximum number of concurrent requests.
     pub(crate) slots: u16,
-    /// Requests that wait at once.
+    /// The maximum number of waiting requests.
     pub(crate) queue: u16,
-    /// Slots that bulk requests never hold.
+    /// Slots that bulk requests can't occupy.
     pub(crate) reserve: u16,
 }
 
 impl SlotLimits {
-    /// Reads the limits of a service.
+    /// Derives the limits from a service's manifest entry.
     ///
-    /// Only a service with an urgent rule keeps a reserve; at any other it
-    /// would be a slot that nobody uses.
+    /// Only a service with an urgent rule has a reserve; on any other the
+    /// reserved slot would stay idle under bulk load.
     pub(crate) fn new(spec: &ServiceSpec) -> Self {
         let urgent = spec
             .rules
             .iter()
             .any(|rule| rule.priority == RequestPriority::Urgent);
-        let reserve = if urgent && spec.limits.slots > URGENT_RESERVE {
-            URGENT_RESERVE
+        let reserve = if urgent && spec.limits.slots > URGENT_RESERVE_SLOTS {
+            URGENT_RESERVE_SLOTS
         } else {
             0
         };
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Returns the most slots that requests of this priority may hold together.
+    /// Returns the maximum number of slots for requests of this priority.
     pub(super) fn slots_for(self, priority: RequestPriority) -> u16 {
         match priority {
             RequestPriority::Urgent | RequestPriority::Normal => self.slots,
--- a/src/agent/slot/slot_queue.rs
+++ b/src/agent/slot/slot_queue.rs
@@ -4,15 +4,15 @@
 use super::{
     RefusalCause, ServiceTime, SlotEvent, SlotKey, SlotLimits, SlotOrigin, SlotRefusal,
     SlotRequest, SlotVerdict, WaiterKey,
-    waiting_line::{PRIORITIES, WaitingLine},
+    wait_queue::{PRIORITIES, WaitQueue},
 };
 use crate::{
     clock::{ClockMillis, SpanMillis},
     manifest::RequestPriority,
 };
 
-/// The least time after which a refused request is told to come back.
-const LEAST_RETRY_MILLIS: SpanMillis = SpanMillis::new(100);
+/// The shortest `retry_after` of a refusal.
+const MIN_RETRY_MILLIS: SpanMillis = SpanMillis::new(100);
 
 /// A request that holds a slot.
 #[derive(Debug, Clone, Copy)]
@@ -21,72 +21,72 @@
     since: ClockMillis,
 }
 
-/// How much the target has to do.
+/// The state of the slots and the queue, in numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub(crate) struct QueueCounts {
     /// Requests that hold a slot.
     pub(crate) running: u16,
-    /// Own requests that wait for one.
+    /// Requests of this agent's callers that wait for a slot.
     pub(crate) waiting: u16,
-    /// Slots in all.
+    /// The total number of slots.
     pub(crate) slots: u16,
 }
 
-/// Hands out the slots of one target, the most urgent request first.
+/// Grants the slots of one target in order of priority.
 ///
-/// A request that can't start in time is refused when it arrives, or as soon
-/// as that becomes certain; it never waits for an answer that is known.
+/// A request that can't finish before its deadline is refused on arrival, or
+/// as soon as that becomes clear, rather than left waiting.
 #[derive(Debug)]
 pub(crate) struct SlotQueue {
     limits: SlotLimits,
     running: SlotMap<SlotKey, RunningRequest>,
-    waiting: WaitingLine,
+    waiting: WaitQueue,
     service_time: ServiceTime,
 }
 
 impl SlotQueue {
-    /// Creates the queue of a target that does nothing yet.
+    /// Creates an empty queue with all slots free.
     pub(crate) fn new(limits: SlotLimits) -> Self {
         Self {
             limits,
             running: SlotMap::with_key(),
-            waiting: WaitingLine::default(),
+            waiting: WaitQueue::default(),
             service_time: ServiceTime::new(),
         }
     }
 
-    /// Puts changed limits in force; what runs or waits stays.
+    /// Changes the limits; requests that run or wait are not affected.
     pub(crate) fn set_limits(&mut self, limits: SlotLimits) {
         self.limits = limits;
     }
 
-    /// Answers a request for a slot.
+    /// Grants a slot, queues the request or refuses it.
     ///
-    /// The events tell of waiting requests that had to make room.
+    /// The events report waiting requests that were displaced.
     pub(crate) fn request(
         &mut self,
         request: SlotRequest,
         now: ClockMillis,
     ) -> (SlotVerdict, Vec<SlotEvent>) {
-        if self.has_room(request.priority) && !self.waits_before(request.priority) {
+        if self.has_free_slot(request.priority) && !self.has_waiting_at_least(request.priority) {
             return (SlotVerdict::Run(self.start(request, now)), Vec::new());
         }
-        if self.predicted_end(request, now) > request.deadline {
+        if self.estimated_end(request, now) > request.deadline {
             let refusal = self.refusal(request, RefusalCause::DeadlineTooNear, now);
             return (SlotVerdict::Refuse(refusal), Vec::new());
         }
         let mut events = Vec::new();
         if self.waiting.len(request.origin) >= usize::from(self.limits.queue) {
-            let Some(waiter) = self.displaced_by(request) else {
+            let Some(waiter) = self.find_displaced(request) else {
                 let refusal = self.refusal(request, RefusalCause::QueueFull, now);
                 return (SlotVerdict::Refuse(refusal), events);
             };
-            events.extend(self.drop_waiter(waiter, RefusalCause::Displaced, now));
+            events.extend(self.refuse_waiter(waiter, RefusalCause::Displaced, now));
         }
         (SlotVerdict::Wait(self.waiting.push(request)), events)
     }
 
-    /// Gives a slot back and starts what may run now.
+    /// Releases a slot and starts the requests that can run now.
     pub(crate) fn release(&mut self, slot: SlotKey, now: ClockMillis) -> Vec<SlotEvent> {
         if let Some(request) = self.running.remove(slot) {
             let held = now.since(request.since);
@@ -95,20 +95,20 @@
         self.advance(now)
     }
 
-    /// Gives a slot back that no request ran on, and starts what may run now.
+    /// Releases a slot that no request used, without recording a service time.
     pub(crate) fn release_unused(&mut self, slot: SlotKey, now: ClockMillis) -> Vec<SlotEvent> {
         self.running.remove(slot);
         self.advance(now)
     }
 
-    /// Takes out a waiting request whose caller is gone.
+    /// Removes a waiting request.
     pub(crate) fn withdraw(&mut self, waiter: WaiterKey) {
         self.waiting.remove(waiter);
     }
 
-    /// Refuses what can't finish in time any more and starts what may run.
+    /// Refuses waiting requests that are too late and starts those that can run.
     pub(crate) fn advance(&mut self, now: ClockMillis) -> Vec<SlotEvent> {
-        let mut events = self.refuse_late(now);
+        let mut events = self.refuse_overdue(now);
         while let Some(waiter) = self.next_waiter() {
             let Some(request) = self.waiting.remove(waiter) else {
                 break;
@@ -119,7 +119,7 @@
         events
     }
 
-    /// Returns how much the target has to do.
+    /// Returns the number of running and waiting requests, and of slots.
     pub(crate) fn counts(&self) -> QueueCounts {
         QueueCounts {
             running: u16::try_from(self.running.len()).unwrap_or(u16::MAX),
@@ -128,42 +128,42 @@
         }
     }
 
-    /// Returns the time after which a request of this priority is likely to start.
+    /// Returns the estimated time until a request of this priority can start.
     pub(crate) fn retry_after(&self, priority: RequestPriority, now: ClockMillis) -> SpanMillis {
-        self.work_before(priority, now).max(LEAST_RETRY_MILLIS)
+        self.estimated_wait(priority, now).max(MIN_RETRY_MILLIS)
     }
 
-    /// Returns the own request that makes room for a more urgent one.
-    fn displaced_by(&self, request: SlotRequest) -> Option<WaiterKey> {
+    /// Returns the waiting request to displace in favour of `request`.
+    fn find_displaced(&self, request: SlotRequest) -> Option<WaiterKey> {
         match request.origin {
-            SlotOrigin::Own => self.waiting.last_below(request.priority),
+            SlotOrigin::Own => self.waiting.last_own_below(request.priority),
             SlotOrigin::Peer => None,
         }
     }
 
-    fn has_room(&self, priority: RequestPriority) -> bool {
+    fn has_free_slot(&self, priority: RequestPriority) -> bool {
         if self.running.len() >= usize::from(self.limits.slots) {
             return false;
         }
-        let same = self
+        let same_priority = self
             .running
             .values()
             .filter(|request| request.priority == priority)
             .count();
-        same < usize::from(self.limits.slots_for(priority))
+        same_priority < usize::from(self.limits.slots_for(priority))
     }
 
-    fn waits_before(&self, priority: RequestPriority) -> bool {
+    fn has_waiting_at_least(&self, priority: RequestPriority) -> bool {
         PRIORITIES
             .into_iter()
             .filter(|other| *other <= priority)
-            .any(|other| self.waiting.has(other))
+            .any(|other| self.waiting.has_any(other))
     }
 
     fn next_waiter(&self) -> Option<WaiterKey> {
         PRIORITIES
             .into_iter()
-            .filter(|priority| self.has_room(*priority))
+            .filter(|priority| self.has_free_slot(*priority))
             .find_map(|priority| self.waiting.first(priority))
     }
 
@@ -174,40 +174,40 @@
         })
     }
 
-    /// Estimates when the slots have done all work up to this priority.
+    /// Estimates the time until all work of this or a more urgent priority is done.
     ///
-    /// Claims of peers are left out: most of their requests run elsewhere, as
-    /// do own requests in return.
-    fn work_before(&self, priority: RequestPriority, now: ClockMillis) -> SpanMillis {
+    /// Waiting peer claims are not counted: most of those requests run
+    /// elsewhere, as do some of this agent's requests in return.
+    fn estimated_wait(&self, priority: RequestPriority, now: ClockMillis) -> SpanMillis {
         let waiting: u64 = PRIORITIES
             .into_iter()
             .filter(|other| *other <= priority)
             .map(|other| {
-                let count = self.waiting.own_of(other) as u64;
+                let count = self.waiting.own_len(other) as u64;
                 self.service_time.mean(other).times(count).millis()
             })
             .sum();
         let running: u64 = self
             .running
             .values()
-            .map(|request| self.work_left(*request, now).millis())
+            .map(|request| self.remaining_time(*request, now).millis())
             .sum();
         let slots = u64::from(self.limits.slots_for(priority)).max(1);
         SpanMillis::new((waiting + running) / slots)
     }
 
-    /// Estimates what is left of a running request.
+    /// Estimates the remaining time of a running request.
     ///
-    /// One that runs longer than the mean is expected to take as long again
-    /// in proportion, so that a slow target is noticed before it answers.
-    fn work_left(&self, request: RunningRequest, now: ClockMillis) -> SpanMillis {
+    /// It is half the mean service time, or half the elapsed time once that is
+    /// longer, so that a slow target is noticed before it answers.
+    fn remaining_time(&self, request: RunningRequest, now: ClockMillis) -> SpanMillis {
         let mean = self.service_time.mean(request.priority);
         let held = now.since(request.since);
         SpanMillis::new(mean.max(held).millis() / 2)
     }
 
-    fn predicted_end(&self, request: SlotRequest, now: ClockMillis) -> ClockMillis {
-        now.after(self.work_before(request.priority, now))
+    fn estimated_end(&self, request: SlotRequest, now: ClockMillis) -> ClockMillis {
+        now.after(self.estimated_wait(request.priority, now))
             .after(self.service_time.mean(request.priority))
     }
 
@@ -216,19 +216,20 @@
         ClockMillis::new(request.deadline.millis().saturating_sub(mean.millis()))
     }
 
-    fn refuse_late(&mut self, now: ClockMillis) -> Vec<SlotEvent> {
-        let late: Vec<WaiterKey> = self
+    fn refuse_overdue(&mut self, now: ClockMillis) -> Vec<SlotEvent> {
+        let overdue: Vec<WaiterKey> = self
             .waiting
             .iter()
             .filter(|(_, request)| now > self.latest_start(*request))
             .map(|(waiter, _)| waiter)
             .collect();
-        late.into_iter()
-            .filter_map(|waiter| self.drop_waiter(waiter, RefusalCause::DeadlineTooNear, now))
+        overdue
+            .into_iter()
+            .filter_map(|waiter| self.refuse_waiter(waiter, RefusalCause::DeadlineTooNear, now))
             .collect()
     }
 
-    fn drop_waiter(
+    fn refuse_waiter(
         &mut self,
         waiter: WaiterKey,
         cause: RefusalCause,
--- a/src/agent/slot/slot_verdict.rs
+++ b/src/agent/slot/slot_verdict.rs
@@ -4,78 +4,78 @@
 };
 
 slotmap::new_key_type! {
-    /// Names a slot while it is held.
+    /// Key of an occupied slot.
     pub(crate) struct SlotKey;
-    /// Names a request while it waits for a slot.
+    /// Key of a request that waits for a slot.
     pub(crate) struct WaiterKey;
 }
 
-/// Whose request waits.
+/// Where a request for a slot comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SlotOrigin {
-    /// A request of an own caller.
+    /// A caller of this agent.
     Own,
-    /// A peer's claim; its request waits elsewhere too.
+    /// A claim of a peer; its request also waits at that peer.
     Peer,
 }
 
-/// What a request asks of the queue.
+/// A request for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct SlotRequest {
-    /// The place in the queue.
+    /// Decides the order in the queue.
     pub(crate) priority: RequestPriority,
-    /// When the answer must be there.
+    /// When the answer must be complete, or must have begun.
     pub(crate) deadline: ClockMillis,
-    /// Whose request it is.
+    /// Where it comes from.
     pub(crate) origin: SlotOrigin,
 }
 
-/// The answer to a request for a slot.
+/// The result of a request for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SlotVerdict {
-    /// The request holds a slot and runs now.
+    /// The request has a slot and runs now.
     Run(SlotKey),
-    /// The request waits; a later event starts or refuses it.
+    /// The request waits; a later [`SlotEvent`] starts or refuses it.
     Wait(WaiterKey),
-    /// The request is given up at once and never runs.
+    /// The request is refused and never runs.
     Refuse(SlotRefusal),
 }
 
-/// Why a request got no slot, and when to come back.
+/// Why a request got no slot, and when to try again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct SlotRefusal {
-    /// What stood in the way.
+    /// Why it was refused.
     pub(crate) cause: RefusalCause,
-    /// The time after which a slot is likely.
+    /// The estimated time until a slot is free.
     pub(crate) retry_after: SpanMillis,
 }
 
-/// What stood in the way of a slot.
+/// Why a request got no slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum RefusalCause {
-    /// As many requests wait as are allowed.
+    /// The queue is full.
     QueueFull,
-    /// It can't start early enough to finish before its deadline.
+    /// It is not expected to finish before its deadline.
     DeadlineTooNear,
-    /// It waited, and a more urgent request took its place in a full queue.
+    /// A more urgent request displaced it from the full queue.
     Displaced,
 }
 
-/// What becomes of a waiting request.
+/// What happened to a waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SlotEvent {
-    /// It holds a slot and runs now.
+    /// It has a slot and runs now.
     Started {
         /// The request that waited.
         waiter: WaiterKey,
-        /// The slot that it holds.
+        /// Its slot.
         slot: SlotKey,
     },
-    /// It is given up at once and never runs.
+    /// It is refused and never runs.
     Refused {
         /// The request that waited.
         waiter: WaiterKey,
-        /// Why, and when to come back.
+        /// Why, and when to try again.
         refusal: SlotRefusal,
     },
 }
--- a/src/agent/slot/tests.rs
+++ b/src/agent/slot/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the slots and their queue.
+//! Tests of the slot queue and the open count.
 
 use proptest::prelude::*;
 use slotmap::SecondaryMap;
@@ -28,7 +28,7 @@
     Request(RequestPriority, u64),
     Release(usize),
     Withdraw(usize),
-    Pass(u64),
+    AdvanceTime(u64),
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
@@ -41,11 +41,11 @@
         4 => (priority, 1u64..3_000).prop_map(|(priority, span)| Step::Request(priority, span)),
         3 => any::<usize>().prop_map(Step::Release),
         1 => any::<usize>().prop_map(Step::Withdraw),
-        2 => (0u64..200).prop_map(Step::Pass),
+        2 => (0u64..200).prop_map(Step::AdvanceTime),
     ]
 }
 
-/// Follows the queue from outside and checks what must hold after each step.
+/// A reference model of the queue that checks its invariants after each step.
 #[derive(Debug, Default)]
 struct QueueModel {
     running: Vec<(SlotKey, RequestPriority)>,
@@ -59,7 +59,7 @@
             .iter()
             .filter(|(_, held)| *held == RequestPriority::Bulk);
         if priority == RequestPriority::Bulk {
-            assert!(bulk.count() < 3, "bulk took the reserved slot");
+            assert!(bulk.count() < 3, "bulk occupies the reserved slot");
             let urgent = self.waiting.values().any(|wait| wait.priority < priority);
             assert!(!urgent, "bulk started before a waiting request");
         }
@@ -90,20 +90,20 @@
     #![proptest_config(fixed_cases(400))]
 
     #[test]
-    fn limits_and_order_hold(steps in prop::collection::vec(any_step(), 1..200)) {
+    fn limits_and_priority_order_hold(steps in prop::collection::vec(any_step(), 1..200)) {
         let mut queue = SlotQueue::new(LIMITS);
         let mut model = QueueModel::default();
         let mut now = ClockMillis::ORIGIN;
         for step in steps {
             match step {
                 Step::Request(priority, span) => {
-                    let wish = request(priority, now.millis() + span);
-                    let (verdict, events) = queue.request(wish, now);
+                    let slot_request = request(priority, now.millis() + span);
+                    let (verdict, events) = queue.request(slot_request, now);
                     model.apply(events);
                     match verdict {
                         SlotVerdict::Run(slot) => model.start(slot, priority),
                         SlotVerdict::Wait(waiter) => {
-                            model.waiting.insert(waiter, wish);
+                            model.waiting.insert(waiter, slot_request);
                         }
                         SlotVerdict::Refuse(refusal) => prop_assert!(refusal.retry_after.millis() > 0),
                     }
@@ -118,7 +118,7 @@
                     model.waiting.remove(waiter);
                     queue.withdraw(waiter);
                 }
-                Step::Pass(span) => {
+                Step::AdvanceTime(span) => {
                     now = ClockMillis::new(now.millis() + span);
                     model.apply(queue.advance(now));
                     prop_assert!(model.waiting.values().all(|wait| wait.deadline >= now));
@@ -130,13 +130,13 @@
             prop_assert_eq!(usize::from(counts.waiting), model.waiting.len());
             let free = counts.running < 4;
             let ready = model.waiting.values().any(|wait| wait.priority != RequestPriority::Bulk);
-            prop_assert!(!(free && ready), "a slot stands idle while a request waits");
+            prop_assert!(!(free && ready), "a slot is idle while a request waits");
         }
     }
 }
 
 #[test]
-fn an_urgent_request_finds_the_slot_that_bulk_may_not_take() {
+fn bulk_requests_leave_a_slot_free_for_urgent_ones() {
     let mut queue = SlotQueue::new(LIMITS);
     let now = ClockMillis::ORIGIN;
     for _ in 0..3 {
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_full_queue_makes_room_for_urgent_work_and_refuses_the_displaced_at_once() {
+fn an_urgent_request_displaces_a_less_urgent_one_from_a_full_queue() {
     let mut queue = SlotQueue::new(LIMITS);
     let now = ClockMillis::ORIGIN;
     for _ in 0..12 {
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn retry_after_follows_the_service_time_that_was_seen() {
+fn retry_after_follows_the_measured_service_time() {
     let mut queue = SlotQueue::new(LIMITS);
     for round in 0..40 {
         let start = ClockMillis::new(round * 1_000);
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_count_refuses_beyond_its_limit() {
+fn an_open_count_refuses_beyond_its_limit() {
     let mut count = OpenCount::new(2);
     assert_eq!(count.open(), CountVerdict::Open);
     assert_eq!(count.open(), CountVerdict::Open);
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn claims_of_peers_take_no_place_from_own_requests() {
+fn peer_claims_do_not_displace_own_requests() {
     let mut queue = SlotQueue::new(LIMITS);
     let now = ClockMillis::ORIGIN;
     let own = request(RequestPriority::Normal, 60_000);
--- a/src/agent/slot/waiting_line.rs
+++ b/src/agent/slot/wait_queue.rs
@@ -2,42 +2,42 @@
 
 use slotmap::SlotMap;
 
-use super::{SlotOrigin, SlotRequest, WaiterKey, service_time::class_index};
+use super::{SlotOrigin, SlotRequest, WaiterKey, service_time::priority_index};
 use crate::manifest::RequestPriority;
 
-/// The priorities, the most urgent first.
+/// The priorities, most urgent first.
 pub(super) const PRIORITIES: [RequestPriority; 3] = [
     RequestPriority::Urgent,
     RequestPriority::Normal,
     RequestPriority::Bulk,
 ];
 
-/// The requests that wait, in the order in which they are to start.
+/// Waiting requests, one FIFO queue per priority.
 #[derive(Debug, Default)]
-pub(super) struct WaitingLine {
+pub(super) struct WaitQueue {
     requests: SlotMap<WaiterKey, SlotRequest>,
-    own: [usize; 3],
-    lines: [VecDeque<WaiterKey>; 3],
+    own_counts: [usize; 3],
+    queues: [VecDeque<WaiterKey>; 3],
 }
 
-impl WaitingLine {
-    /// Returns how many of one origin wait.
+impl WaitQueue {
+    /// Returns the number of waiting requests of an origin.
     pub(super) fn len(&self, origin: SlotOrigin) -> usize {
-        let own = self.own.iter().sum();
+        let own = self.own_counts.iter().sum();
         match origin {
             SlotOrigin::Own => own,
             SlotOrigin::Peer => self.requests.len() - own,
         }
     }
 
-    /// Tells whether any of one priority waits.
-    pub(super) fn has(&self, priority: RequestPriority) -> bool {
-        !self.lines[class_index(priority)].is_empty()
+    /// Returns whether a request of this priority waits.
+    pub(super) fn has_any(&self, priority: RequestPriority) -> bool {
+        !self.queues[priority_index(priority)].is_empty()
     }
 
-    /// Returns how many own requests of one priority wait.
-    pub(super) fn own_of(&self, priority: RequestPriority) -> usize {
-        self.own[class_index(priority)]
+    /// Returns the number of waiting requests of own callers with this priority.
+    pub(super) fn own_len(&self, priority: RequestPriority) -> usize {
+        self.own_counts[priority_index(priority)]
     }
 
     /// Returns a waiting request.
@@ -45,29 +45,30 @@
         self.requests.get(waiter).copied()
     }
 
-    /// Adds a request behind those of its priority.
+    /// Appends a request to the queue of its priority.
     pub(super) fn push(&mut self, request: SlotRequest) -> WaiterKey {
         let waiter = self.requests.insert(request);
         if request.origin == SlotOrigin::Own {
-            self.own[class_index(request.priority)] += 1;
+            self.own_counts[priority_index(request.priority)] += 1;
         }
-        self.lines[class_index(request.priority)].push_back(waiter);
+        self.queues[priority_index(request.priority)].push_back(waiter);
         waiter
     }
 
-    /// Returns the first of one priority.
+    /// Returns the first waiting request of a priority.
     pub(super) fn first(&self, priority: RequestPriority) -> Option<WaiterKey> {
-        self.lines[class_index(priority)].front().copied()
+        self.queues[priority_index(priority)].front().copied()
     }
 
-    /// Returns the last own request of the least urgent below `priority`.
-    pub(super) fn last_below(&self, priority: RequestPriority) -> Option<WaiterKey> {
-        self.lines
+    /// Returns the last request of an own caller in the least urgent queue below `priority`.
+    pub(super) fn last_own_below(&self, priority: RequestPriority) -> Option<WaiterKey> {
+        self.queues
             .iter()
-            .skip(class_index(priority) + 1)
+            .skip(priority_index(priority) + 1)
             .rev()
-            .find_map(|line| {
-                line.iter()
+            .find_map(|queue| {
+                queue
+                    .iter()
                     .rev()
                     .copied()
                     .find(|waiter| self.is_own(*waiter))
@@ -79,20 +80,20 @@
             .is_some_and(|request| request.origin == SlotOrigin::Own)
     }
 
-    /// Takes a request out; returns it if it waited.
+    /// Removes a request; returns it if it was waiting.
     pub(super) fn remove(&mut self, waiter: WaiterKey) -> Option<SlotRequest> {
         let request = self.requests.remove(waiter)?;
-        let class = class_index(request.priority);
-        self.lines[class].retain(|key| *key != waiter);
+        let index = priority_index(request.priority);
+        self.queues[index].retain(|key| *key != waiter);
         if request.origin == SlotOrigin::Own {
-            self.own[class] -= 1;
+            self.own_counts[index] -= 1;
         }
         Some(request)
     }
 
-    /// Returns every waiting request, the most urgent first.
+    /// Iterates over the waiting requests, most urgent first.
     pub(super) fn iter(&self) -> impl Iterator<Item = (WaiterKey, SlotRequest)> + '_ {
-        self.lines
+        self.queues
             .iter()
             .flatten()
             .filter_map(|waiter| Some((*waiter, self.get(*waiter)?)))
