--- a/src/agent/claim/claim_frame.rs
+++ b/src/agent/claim/claim_frame.rs
@@ -8,24 +8,24 @@
     manifest::RequestPriority,
 };
 
-/// One run of the agent beside a target.
+/// Identifies one run of the agent beside a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct AgentIdentity {
     /// The target.
     pub(crate) target: TargetKey,
-    /// The run of its agent.
+    /// The incarnation of its agent.
     pub(crate) incarnation: IncarnationId,
 }
 
-/// Names a claim: the agent whose request it is for, and a number.
+/// Identifies a claim by the claiming agent and a sequence number.
 ///
-/// Every claim has its own number, so that a message about one that has ended
-/// can't touch another.
+/// Numbers are not reused, so a late message about a closed claim can't affect
+/// another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct ClaimKey {
     /// The agent whose request waits.
     pub(crate) claimant: AgentIdentity,
-    /// Counts the claims of that run.
+    /// The number of the claim within that run.
     pub(crate) sequence: u64,
 }
 
@@ -39,9 +39,9 @@
     }
 }
 
-/// The text names no claim.
+/// The text is not a claim key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the text names no claim")]
+#[error("the text is not a claim key")]
 pub(crate) struct ClaimKeyError;
 
 impl FromStr for ClaimKey {
@@ -63,45 +63,45 @@
     }
 }
 
-/// What agents of one service tell each other about a claim.
+/// A message about a claim between agents of one service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum ClaimMessage {
-    /// A request wants a slot; sent again while it waits.
+    /// A request needs a slot; resent while it waits.
     Claim {
-        /// The place in the queue.
+        /// The priority of the request.
         priority: RequestPriority,
         /// The time left until the request's deadline.
-        left: SpanMillis,
+        time_left: SpanMillis,
     },
-    /// A slot is held for the claim for a short while.
+    /// A slot is reserved for the claim until a timeout.
     Grant,
-    /// The request is on its way to the granted slot.
+    /// The claimant accepts the granted slot; its request follows.
     Bind,
-    /// The slot or the place in the queue is not wanted any more.
+    /// The claimant no longer needs the slot or its place in the queue.
     Release,
-    /// No slot can be had in time.
+    /// The claim is refused: no slot is expected in time.
     Refuse {
-        /// When to come back.
+        /// How long to wait before another claim.
         retry_after: SpanMillis,
     },
 }
 
-/// A message between two agents, as one datagram carries it.
+/// A claim message with its sender, sent as one datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ClaimFrame {
-    /// Who sent it.
+    /// The sending agent.
     pub(crate) sender: AgentIdentity,
-    /// The claim that it is about.
+    /// The claim the message is about.
     pub(crate) key: ClaimKey,
-    /// What it says.
+    /// The message.
     pub(crate) message: ClaimMessage,
 }
 
-/// A frame and the target whose agent is to get it.
+/// A frame and its receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct ClaimSend {
-    /// Whose agent gets it.
+pub(crate) struct AddressedFrame {
+    /// The target whose agent receives the frame.
     pub(crate) to: TargetKey,
-    /// What it gets.
+    /// The frame.
     pub(crate) frame: ClaimFrame,
 }
--- a/src/agent/claim/mod.rs
+++ b/src/agent/claim/mod.rs
@@ -1,19 +1,19 @@
-//! Balance per request: claims on the slots of peers.
+//! Load balancing per request: slot reservations at peer agents.
 //!
-//! A request that finds its own slots taken stays in the own queue and puts
-//! claims on slots of a few peers. The first free slot anywhere gets it. Only
-//! claims are queued at peers, never the request, so it runs in one place
-//! whatever messages are lost.
+//! A request that finds all local slots in use waits in the local queue and
+//! claims a slot at a few peers. It runs on the first slot that becomes free.
+//! Peers queue only the claim, never the request, so the request runs in at
+//! most one place whichever messages are lost.
 
-mod claim_book;
-mod claim_desk;
 mod claim_frame;
+mod incoming_claims;
+mod outgoing_claims;
 mod peer_sample;
 mod slot_broker;
 
-pub(crate) use claim_book::ClaimBook;
-pub(crate) use claim_desk::{BindVerdict, ClaimDesk, DeskOutput};
-pub(crate) use claim_frame::{AgentIdentity, ClaimFrame, ClaimKey, ClaimMessage, ClaimSend};
+pub(crate) use claim_frame::{AddressedFrame, AgentIdentity, ClaimFrame, ClaimKey, ClaimMessage};
+pub(crate) use incoming_claims::{BindVerdict, IncomingClaims, IncomingOutput};
+pub(crate) use outgoing_claims::OutgoingClaims;
 pub(crate) use peer_sample::{PeerView, sample_peers};
 pub(crate) use slot_broker::{BrokerOutput, PeerGrant, SlotBroker};
 
--- a/src/agent/claim/peer_sample.rs
+++ b/src/agent/claim/peer_sample.rs
@@ -3,57 +3,57 @@
     key::TargetKey,
 };
 
-/// Peers at which one request puts claims.
-const CLAIMS: usize = 2;
-/// Peers that are drawn before the least loaded of them are taken.
-const DRAWN: usize = 4;
-/// The age from which on a load report says nothing.
+/// Peers at which a waiting request claims a slot.
+const CLAIMS_PER_REQUEST: usize = 2;
+/// Peers in the random sample, from which the least loaded are chosen.
+const SAMPLE_SIZE: usize = 4;
+/// Load reports older than this are ignored.
 const STALE_MILLIS: SpanMillis = SpanMillis::new(2_000);
-/// What is assumed of a peer that has told nothing of late.
-const UNKNOWN_PERMILLE: u32 = 1_000;
+/// The assumed load of a peer without a recent report.
+const DEFAULT_PERMILLE: u32 = 1_000;
 
-/// What is known of a peer of the same service.
+/// A peer of the same service and its last load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct PeerView {
     /// The peer's target.
     pub(crate) target: TargetKey,
-    /// Its requests in thousandths of its slots, as it last told.
+    /// Its reported requests in thousandths of its slots.
     pub(crate) work_permille: u32,
-    /// When it told so.
+    /// When the report arrived.
     pub(crate) seen: Option<ClockMillis>,
 }
 
-/// Chooses the peers that a request claims slots at.
+/// Chooses the least loaded of a random sample of peers; `draw` seeds the sample.
 ///
-/// A report only orders the peers that the dice chose, so a peer that tells
-/// too low a load gets its usual share of claims and no more.
+/// Load reports only rank the sampled peers, which limits the claims that a
+/// peer with too low a report attracts.
 pub(crate) fn sample_peers(peers: &[PeerView], draw: u64, now: ClockMillis) -> Vec<TargetKey> {
-    let mut drawn: Vec<PeerView> = draw_indices(peers.len(), draw)
+    let mut sampled: Vec<PeerView> = sample_indices(peers.len(), draw)
         .into_iter()
         .filter_map(|index| peers.get(index).copied())
         .collect();
-    drawn.sort_by_key(|peer| believed_load(peer, now));
-    drawn
+    sampled.sort_by_key(|peer| assumed_permille(peer, now));
+    sampled
         .into_iter()
-        .take(CLAIMS)
+        .take(CLAIMS_PER_REQUEST)
         .map(|peer| peer.target)
         .collect()
 }
 
-fn believed_load(peer: &PeerView, now: ClockMillis) -> u32 {
+fn assumed_permille(peer: &PeerView, now: ClockMillis) -> u32 {
     match peer.seen {
         Some(seen) if now.since(seen) <= STALE_MILLIS => peer.work_permille,
-        Some(_) | None => UNKNOWN_PERMILLE,
+        Some(_) | None => DEFAULT_PERMILLE,
     }
 }
 
-/// Draws up to `DRAWN` different numbers below `count`.
-fn draw_indices(count: usize, draw: u64) -> Vec<usize> {
+/// Draws up to `SAMPLE_SIZE` distinct indices below `count`.
+fn sample_indices(count: usize, draw: u64) -> Vec<usize> {
     let mut state = draw;
-    let mut indices: Vec<usize> = Vec::with_capacity(DRAWN);
-    let wanted = DRAWN.min(count);
-    while indices.len() < wanted {
-        state = mix(state);
+    let mut indices: Vec<usize> = Vec::with_capacity(SAMPLE_SIZE);
+    let sample_size = SAMPLE_SIZE.min(count);
+    while indices.len() < sample_size {
+        state = splitmix64(state);
         let below = u64::try_from(count).unwrap_or(u64::MAX);
         let index = usize::try_from(state % below).unwrap_or(0);
         if !indices.contains(&index) {
@@ -64,7 +64,7 @@
 }
 
 /// One step of the splitmix64 generator.
-fn mix(state: u64) -> u64 {
+fn splitmix64(state: u64) -> u64 {
     let next = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let one = (next ^ (next >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let two = (one ^ (one >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/src/agent/claim/slot_broker.rs
+++ b/src/agent/claim/slot_broker.rs
@@ -1,6 +1,6 @@
 use super::{
-    AgentIdentity, BindVerdict, ClaimBook, ClaimDesk, ClaimFrame, ClaimKey, ClaimMessage,
-    ClaimSend, DeskOutput, PeerView, sample_peers,
+    AddressedFrame, AgentIdentity, BindVerdict, ClaimFrame, ClaimKey, ClaimMessage, IncomingClaims,
+    IncomingOutput, OutgoingClaims, PeerView, sample_peers,
 };
 use crate::{
     agent::slot::{
@@ -10,54 +10,54 @@
     key::TargetKey,
 };
 
-/// A slot of a peer that a waiting request is bound to.
+/// A peer's slot that a waiting request is bound to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct PeerGrant {
-    /// The request that waited in the own queue.
+    /// The request that waited in the local queue.
     pub(crate) waiter: WaiterKey,
-    /// The claim, which the peer asks for when the request arrives.
+    /// The claim, which the peer expects with the request.
     pub(crate) key: ClaimKey,
     /// The target that granted the slot.
     pub(crate) granter: TargetKey,
 }
 
-/// What the broker wants to be done.
+/// What the caller of [`SlotBroker`] has to do.
 #[derive(Debug, Default)]
 pub(crate) struct BrokerOutput {
-    /// What became of waiting requests in the own queue.
+    /// Events of requests that waited in the local queue.
     pub(crate) events: Vec<SlotEvent>,
-    /// Requests that a peer's slot was found for.
+    /// Requests that got a slot at a peer.
     pub(crate) grants: Vec<PeerGrant>,
-    /// Messages to peers.
-    pub(crate) sends: Vec<ClaimSend>,
+    /// Frames to send to peers.
+    pub(crate) sends: Vec<AddressedFrame>,
 }
 
-/// Finds the first free slot for each request, here or at a peer.
+/// Finds the first free slot for each request, local or at a peer.
 #[derive(Debug)]
 pub(crate) struct SlotBroker {
     queue: SlotQueue,
-    desk: ClaimDesk,
-    book: ClaimBook,
+    incoming: IncomingClaims,
+    outgoing: OutgoingClaims,
 }
 
 impl SlotBroker {
-    /// Creates the broker of a target that does nothing yet.
+    /// Creates a broker with all slots free.
     pub(crate) fn new(own: AgentIdentity, limits: SlotLimits) -> Self {
         Self {
             queue: SlotQueue::new(limits),
-            desk: ClaimDesk::new(own),
-            book: ClaimBook::new(own),
+            incoming: IncomingClaims::new(own),
+            outgoing: OutgoingClaims::new(own),
         }
     }
 
-    /// Puts changed limits in force.
+    /// Changes the limits of the local slots and queue.
     pub(crate) fn set_limits(&mut self, limits: SlotLimits) {
         self.queue.set_limits(limits);
     }
 
-    /// Answers a request for a slot; one that waits claims slots at `peers`.
+    /// Requests a local slot; a request that has to wait also claims slots at `peers`.
     ///
-    /// `draw` is a random number that chooses among them.
+    /// `draw` is a random number that selects the peers.
     pub(crate) fn request(
         &mut self,
         request: SlotRequest,
@@ -66,85 +66,90 @@
         now: ClockMillis,
     ) -> (SlotVerdict, BrokerOutput) {
         let (verdict, events) = self.queue.request(request, now);
-        let mut output = self.route(events, now);
+        let mut output = self.route_events(events, now);
         if let SlotVerdict::Wait(waiter) = verdict {
             let chosen = sample_peers(peers, draw, now);
             output
                 .sends
-                .extend(self.book.place(waiter, request, chosen, now));
+                .extend(self.outgoing.open(waiter, request, chosen, now));
         }
         (verdict, output)
     }
 
-    /// Gives a slot back.
+    /// Releases a local slot.
     pub(crate) fn release(&mut self, slot: SlotKey, now: ClockMillis) -> BrokerOutput {
         let events = self.queue.release(slot, now);
-        self.route(events, now)
+        self.route_events(events, now)
     }
 
-    /// Takes a waiting request out whose caller is gone.
+    /// Removes a waiting request and releases its claims.
     pub(crate) fn withdraw(&mut self, waiter: WaiterKey) -> BrokerOutput {
         self.queue.withdraw(waiter);
         BrokerOutput {
-            sends: self.book.withdraw(waiter),
+            sends: self.outgoing.withdraw(waiter),
             ..BrokerOutput::default()
         }
     }
 
-    /// Takes a message of a peer.
+    /// Handles a frame from a peer.
     pub(crate) fn receive(&mut self, frame: ClaimFrame, now: ClockMillis) -> BrokerOutput {
         let key = frame.key;
         match frame.message {
-            ClaimMessage::Grant => self.take_grant(key, frame.sender),
+            ClaimMessage::Grant => self.handle_grant(key, frame.sender),
             ClaimMessage::Refuse { .. } => {
-                self.book.take_refusal(key, frame.sender.target);
+                self.outgoing.handle_refusal(key, frame.sender.target);
                 BrokerOutput::default()
             }
-            // Only the claimant itself may speak for its claim.
+            // Only the claimant may change its claim.
             _ if frame.sender != key.claimant => BrokerOutput::default(),
-            ClaimMessage::Claim { priority, left } => {
+            ClaimMessage::Claim {
+                priority,
+                time_left,
+            } => {
                 let queue = &mut self.queue;
-                let output = self.desk.take_claim(key, (priority, left), queue, now);
-                self.follow(output)
+                let output = self
+                    .incoming
+                    .handle_claim(key, (priority, time_left), queue, now);
+                self.withdraw_dequeued(output)
             }
             ClaimMessage::Bind => {
-                self.desk.take_bind(key, now);
+                self.incoming.handle_bind(key, now);
                 BrokerOutput::default()
             }
             ClaimMessage::Release => {
-                let output = self.desk.take_release(key, &mut self.queue, now);
-                self.follow(output)
+                let output = self.incoming.handle_release(key, &mut self.queue, now);
+                self.withdraw_dequeued(output)
             }
         }
     }
 
-    /// Puts a request that a peer sent on the slot that was granted to it.
+    /// Binds a request from a peer to the slot that was granted to it.
     pub(crate) fn bind(&mut self, key: ClaimKey) -> BindVerdict {
-        self.desk.bind(key)
+        self.incoming.bind(key)
     }
 
-    /// Does what is due at `now` even if nothing else happens.
+    /// Expires and resends claims, and advances the queue, to `now`.
     pub(crate) fn advance(&mut self, now: ClockMillis) -> BrokerOutput {
-        let expired = self.desk.expire(&mut self.queue, now);
-        let mut output = self.follow(expired);
+        let expired = self.incoming.expire(&mut self.queue, now);
+        let mut output = self.withdraw_dequeued(expired);
         let events = self.queue.advance(now);
-        output.append(self.route(events, now));
-        output.sends.extend(self.book.refresh(now));
+        output.append(self.route_events(events, now));
+        output.sends.extend(self.outgoing.resend_due(now));
         output
     }
 
-    /// Returns how much the target has to do.
+    /// Returns the counts of the local slots and queue.
     pub(crate) fn counts(&self) -> QueueCounts {
         self.queue.counts()
     }
 
-    /// Returns how many claims of own requests and of peers are open.
+    /// Returns the numbers of own requests with claims and of peers' claims.
     pub(crate) fn claims(&self) -> (usize, usize) {
-        (self.book.len(), self.desk.len())
+        (self.outgoing.len(), self.incoming.len())
     }
 
-    fn take_grant(&mut self, key: ClaimKey, granter: AgentIdentity) -> BrokerOutput {
-        let (grant, sends) = self.book.take_grant(key, granter);
+    fn handle_grant(&mut self, key: ClaimKey, granter: AgentIdentity) -> BrokerOutput {
+        let (grant, sends) = self.outgoing.handle_grant(key, granter);
         if let Some(grant) = grant {
             self.queue.withdraw(grant.waiter);
         }
@@ -155,20 +160,20 @@
         }
     }
 
-    fn route(&mut self, events: Vec<SlotEvent>, now: ClockMillis) -> BrokerOutput {
-        let output = self.desk.route(events, now);
-        self.follow(output)
+    fn route_events(&mut self, events: Vec<SlotEvent>, now: ClockMillis) -> BrokerOutput {
+        let output = self.incoming.route_events(events, now);
+        self.withdraw_dequeued(output)
     }
 
-    /// Takes the claims back of own requests that wait no more.
-    fn follow(&mut self, output: DeskOutput) -> BrokerOutput {
-        let mut sends = output.sends;
-        for event in &output.local {
+    /// Releases the claims of own requests that have left the queue.
+    fn withdraw_dequeued(&mut self, output: IncomingOutput) -> BrokerOutput {
+        let mut sends = output.frames;
+        for event in &output.own_events {
             let (SlotEvent::Started { waiter, .. } | SlotEvent::Refused { waiter, .. }) = event;
-            sends.extend(self.book.withdraw(*waiter));
+            sends.extend(self.outgoing.withdraw(*waiter));
         }
         BrokerOutput {
-            events: output.local,
+            events: output.own_events,
             grants: Vec::new(),
             sends,
         }
--- a/src/agent/claim/tests.rs
+++ b/src/agent/claim/tests.rs
@@ -1,5 +1,5 @@
-//! Agents that claim each other's slots over a network that loses, delays,
-//! doubles and reorders messages, and agents that die.
+//! Agents that claim each other's slots while the network drops, delays,
+//! duplicates and reorders messages and agents crash.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 
 use super::{
-    AgentIdentity, BindVerdict, BrokerOutput, ClaimFrame, ClaimKey, ClaimSend, PeerView,
+    AddressedFrame, AgentIdentity, BindVerdict, BrokerOutput, ClaimFrame, ClaimKey, PeerView,
     SlotBroker, sample_peers,
 };
 use crate::{
@@ -35,40 +35,40 @@
     Finish(usize),
     Withdraw(usize),
     Deliver(usize),
-    Double(usize),
-    Lose(usize),
-    Pass(u64),
+    Duplicate(usize),
+    Drop(usize),
+    AdvanceTime(u64),
     Kill(usize),
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        5 => (0..AGENTS, 1u64..2_000).prop_map(|(at, left)| Step::Arrive(at, left)),
+        5 => (0..AGENTS, 1u64..2_000).prop_map(|(at, time_left)| Step::Arrive(at, time_left)),
         3 => any::<usize>().prop_map(Step::Finish),
         1 => any::<usize>().prop_map(Step::Withdraw),
         8 => any::<usize>().prop_map(Step::Deliver),
-        1 => any::<usize>().prop_map(Step::Double),
-        1 => any::<usize>().prop_map(Step::Lose),
-        3 => (1u64..60).prop_map(Step::Pass),
+        1 => any::<usize>().prop_map(Step::Duplicate),
+        1 => any::<usize>().prop_map(Step::Drop),
+        3 => (1u64..60).prop_map(Step::AdvanceTime),
         1 => (0..AGENTS).prop_map(Step::Kill),
     ]
 }
 
-/// A request that runs, with the agent whose slot it holds.
+/// A running request: the agent index and the slot it holds.
 #[derive(Debug, Clone, Copy)]
-struct Running {
+struct RunningRequest {
     at: usize,
     slot: SlotKey,
 }
 
-struct World {
+struct SimulatedCluster {
     brokers: Vec<SlotBroker>,
     incarnations: Vec<u64>,
     waiting: BTreeMap<(usize, WaiterKey), u64>,
-    running: Vec<Running>,
+    running: Vec<RunningRequest>,
     started: BTreeSet<u64>,
-    network: Vec<ClaimSend>,
-    relays: Vec<(u64, TargetKey, ClaimKey)>,
+    network: Vec<AddressedFrame>,
+    relayed: Vec<(u64, TargetKey, ClaimKey)>,
     requests: u64,
     now: ClockMillis,
 }
@@ -90,7 +90,7 @@
     SlotBroker::new(own, LIMITS)
 }
 
-fn views(except: usize) -> Vec<PeerView> {
+fn peer_views(except: usize) -> Vec<PeerView> {
     (0..AGENTS)
         .filter(|index| *index != except)
         .map(|index| PeerView {
@@ -101,7 +101,7 @@
         .collect()
 }
 
-impl World {
+impl SimulatedCluster {
     fn new() -> Self {
         Self {
             brokers: (0..AGENTS).map(|index| broker(index, 0)).collect(),
@@ -110,7 +110,7 @@
             running: Vec::new(),
             started: BTreeSet::new(),
             network: Vec::new(),
-            relays: Vec::new(),
+            relayed: Vec::new(),
             requests: 0,
             now: ClockMillis::ORIGIN,
         }
@@ -118,36 +118,36 @@
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Arrive(at, left) => self.arrive(at, left),
+            Step::Arrive(at, time_left) => self.arrive(at, time_left),
             Step::Finish(index) if !self.running.is_empty() => {
                 let run = self.running.swap_remove(index % self.running.len());
                 let output = self.brokers[run.at].release(run.slot, self.now);
-                self.follow(run.at, output);
+                self.apply_output(run.at, output);
             }
             Step::Withdraw(index) => self.withdraw(index),
             Step::Deliver(index) => self.deliver(index),
-            Step::Double(index) if !self.network.is_empty() => {
+            Step::Duplicate(index) if !self.network.is_empty() => {
                 self.network.push(self.network[index % self.network.len()]);
             }
-            Step::Lose(index) if !self.network.is_empty() => {
+            Step::Drop(index) if !self.network.is_empty() => {
                 self.network.swap_remove(index % self.network.len());
             }
-            Step::Pass(span) => self.pass(span),
+            Step::AdvanceTime(span) => self.advance_time(span),
             Step::Kill(at) => self.kill(at),
-            Step::Finish(_) | Step::Double(_) | Step::Lose(_) => {}
+            Step::Finish(_) | Step::Duplicate(_) | Step::Drop(_) => {}
         }
         self.check_slots();
     }
 
-    fn arrive(&mut self, at: usize, left: u64) {
+    fn arrive(&mut self, at: usize, time_left: u64) {
         self.requests += 1;
         let request = SlotRequest {
             priority: RequestPriority::Normal,
-            deadline: ClockMillis::new(self.now.millis() + left),
+            deadline: ClockMillis::new(self.now.millis() + time_left),
             origin: SlotOrigin::Own,
         };
         let draw = self.requests;
-        let (verdict, output) = self.brokers[at].request(request, &views(at), draw, self.now);
+        let (verdict, output) = self.brokers[at].request(request, &peer_views(at), draw, self.now);
         match verdict {
             SlotVerdict::Run(slot) => self.start(self.requests, at, slot),
             SlotVerdict::Wait(waiter) => {
@@ -155,11 +155,11 @@
             }
             SlotVerdict::Refuse(_) => {}
         }
-        self.follow(at, output);
+        self.apply_output(at, output);
     }
 
     fn deliver(&mut self, index: usize) {
-        let pending = self.network.len() + self.relays.len();
+        let pending = self.network.len() + self.relayed.len();
         if pending == 0 {
             return;
         }
@@ -168,32 +168,32 @@
             let send = self.network.swap_remove(at);
             let to = index_of(send.to);
             let output = self.brokers[to].receive(send.frame, self.now);
-            self.follow(to, output);
+            self.apply_output(to, output);
             return;
         }
-        let (request, granter, key) = self.relays.swap_remove(at - self.network.len());
+        let (request, granter, key) = self.relayed.swap_remove(at - self.network.len());
         let to = index_of(granter);
-        // A request that finds no slot was not run and goes back to its caller.
+        // A request whose grant has expired did not run; the error goes back to its caller.
         if let BindVerdict::Bound(slot) = self.brokers[to].bind(key) {
             self.start(request, to, slot);
         }
     }
 
     fn withdraw(&mut self, index: usize) {
-        let place = index % self.waiting.len().max(1);
-        let Some((at, waiter)) = self.waiting.keys().copied().nth(place) else {
+        let position = index % self.waiting.len().max(1);
+        let Some((at, waiter)) = self.waiting.keys().copied().nth(position) else {
             return;
         };
         self.waiting.remove(&(at, waiter));
         let output = self.brokers[at].withdraw(waiter);
-        self.follow(at, output);
+        self.apply_output(at, output);
     }
 
-    fn pass(&mut self, span: u64) {
+    fn advance_time(&mut self, span: u64) {
         self.now = ClockMillis::new(self.now.millis() + span);
         for at in 0..AGENTS {
             let output = self.brokers[at].advance(self.now);
-            self.follow(at, output);
+            self.apply_output(at, output);
         }
     }
 
@@ -204,7 +204,7 @@
         self.waiting.retain(|(home, _), _| *home != at);
     }
 
-    fn follow(&mut self, at: usize, output: BrokerOutput) {
+    fn apply_output(&mut self, at: usize, output: BrokerOutput) {
         self.network.extend(output.sends);
         for event in output.events {
             match event {
@@ -219,13 +219,13 @@
         }
         for grant in output.grants {
             let request = self.waiting.remove(&(at, grant.waiter)).expect("it waited");
-            self.relays.push((request, grant.granter, grant.key));
+            self.relayed.push((request, grant.granter, grant.key));
         }
     }
 
     fn start(&mut self, request: u64, at: usize, slot: SlotKey) {
-        assert!(self.started.insert(request), "a request ran in two places");
-        self.running.push(Running { at, slot });
+        assert!(self.started.insert(request), "a request ran twice");
+        self.running.push(RunningRequest { at, slot });
     }
 
     fn check_slots(&self) {
@@ -235,23 +235,26 @@
             assert!(running <= 2, "more requests than slots");
             assert!(
                 running <= usize::from(counts.running),
-                "a run without a slot"
+                "a request runs without a slot"
+            );
+            assert!(
+                counts.running <= 2 && counts.waiting <= 6,
+                "limits exceeded"
             );
-            assert!(counts.running <= 2 && counts.waiting <= 6, "limits");
         }
     }
 
-    /// Lets everything end: no message is lost any more.
-    fn settle(&mut self) {
+    /// Finishes all requests, with no further message loss.
+    fn run_to_completion(&mut self) {
         for _ in 0..200 {
             while let Some(run) = self.running.pop() {
                 let output = self.brokers[run.at].release(run.slot, self.now);
-                self.follow(run.at, output);
+                self.apply_output(run.at, output);
             }
             for _ in 0..200 {
                 self.deliver(0);
             }
-            self.pass(20);
+            self.advance_time(20);
             self.check_slots();
         }
     }
@@ -261,17 +264,17 @@
     #![proptest_config(fixed_cases(600))]
 
     #[test]
-    fn one_place_a_request_and_no_slot_is_lost(
+    fn each_request_runs_at_most_once_and_no_slot_leaks(
         steps in prop::collection::vec(any_step(), 1..120),
     ) {
-        let mut world = World::new();
+        let mut cluster = SimulatedCluster::new();
         for step in steps {
-            world.step(step);
+            cluster.step(step);
         }
-        world.settle();
-        prop_assert!(world.waiting.is_empty(), "every request was started or refused");
-        for broker in &world.brokers {
-            prop_assert_eq!(broker.counts().running, 0, "every slot came back");
+        cluster.run_to_completion();
+        prop_assert!(cluster.waiting.is_empty(), "every request was started or refused");
+        for broker in &cluster.brokers {
+            prop_assert_eq!(broker.counts().running, 0, "every slot was released");
             prop_assert_eq!(broker.claims(), (0, 0), "every claim ended");
         }
     }
@@ -285,25 +288,25 @@
     }
 
     #[test]
-    fn samples_are_different_peers_and_prefer_the_lighter(draw: u64, light in 0usize..7) {
+    fn sampled_peers_differ_and_the_least_loaded_comes_first(draw: u64, lightest in 0usize..7) {
         let peers: Vec<PeerView> = (0..7)
             .map(|index| PeerView {
                 target: target(index),
-                work_permille: if index == light { 0 } else { 900 },
+                work_permille: if index == lightest { 0 } else { 900 },
                 seen: Some(ClockMillis::ORIGIN),
             })
             .collect();
         let chosen = sample_peers(&peers, draw, ClockMillis::ORIGIN);
         prop_assert_eq!(chosen.len(), 2);
         prop_assert_ne!(chosen[0], chosen[1]);
-        if let Some(place) = chosen.iter().position(|peer| *peer == target(light)) {
-            prop_assert_eq!(place, 0);
+        if let Some(position) = chosen.iter().position(|peer| *peer == target(lightest)) {
+            prop_assert_eq!(position, 0);
         }
     }
 }
 
 #[test]
-fn a_key_reads_back_as_written() {
+fn a_claim_key_round_trips_through_text() {
     let key = ClaimKey {
         claimant: AgentIdentity {
             target: target(5),
@@ -316,7 +319,7 @@
 }
 
 #[test]
-fn an_idle_peer_takes_the_request_at_once() {
+fn an_idle_peer_grants_a_slot_at_once() {
     let mut busy = broker(0, 0);
     let mut idle = broker(1, 0);
     let now = ClockMillis::ORIGIN;
@@ -328,7 +331,7 @@
     for _ in 0..2 {
         busy.request(request, &[], 1, now);
     }
-    let (verdict, output) = busy.request(request, &views(0)[..1], 1, now);
+    let (verdict, output) = busy.request(request, &peer_views(0)[..1], 1, now);
     assert!(matches!(verdict, SlotVerdict::Wait(_)));
     let [claim] = output.sends.as_slice() else {
         panic!("one claim at the only peer");
@@ -344,7 +347,7 @@
 }
 
 #[test]
-fn a_grant_that_nobody_wants_is_given_back_at_once() {
+fn an_unwanted_grant_is_released_at_once() {
     let mut busy = broker(0, 0);
     let mut idle = broker(1, 0);
     let now = ClockMillis::ORIGIN;
@@ -356,15 +359,15 @@
     for _ in 0..2 {
         busy.request(request, &[], 1, now);
     }
-    let (verdict, output) = busy.request(request, &views(0)[..1], 1, now);
+    let (verdict, output) = busy.request(request, &peer_views(0)[..1], 1, now);
     let SlotVerdict::Wait(waiter) = verdict else {
         panic!("both slots are taken: {verdict:?}");
     };
     let granted = idle.receive(output.sends[0].frame, now).sends;
     let mut withdrawn = busy.withdraw(waiter).sends;
-    // The release of the withdrawal is lost; the one after the grant arrives.
+    // The release sent by the withdrawal is lost; the one that answers the grant arrives.
     withdrawn.clear();
-    let given_back = busy.receive(granted[0].frame, now).sends;
-    idle.receive(given_back[0].frame, now);
+    let released = busy.receive(granted[0].frame, now).sends;
+    idle.receive(released[0].frame, now);
     assert_eq!(idle.counts().running, 0);
 }
--- a/src/agent/retry/mod.rs
+++ b/src/agent/retry/mod.rs
@@ -1,4 +1,4 @@
-//! Whether a failed attempt may be made again.
+//! Retry budget and the decision to retry a failed attempt.
 
 mod retry_budget;
 mod retry_decision;
--- a/src/agent/retry/retry_budget.rs
+++ b/src/agent/retry/retry_budget.rs
@@ -2,16 +2,16 @@
 
 use crate::clock::ClockMillis;
 
-/// The length of one bucket of the window.
+/// The length of one bucket of the sliding window.
 const BUCKET_MILLIS: u64 = 1_000;
-/// The buckets of the window.
-const BUCKETS: usize = 10;
-/// The same count, to compute with times.
-const BUCKET_SPAN: u64 = 10;
-/// Retries that a window allows however few requests there were.
-const LEAST_RETRIES: u64 = 1;
+/// The number of buckets in the window.
+const BUCKET_COUNT: usize = 10;
+/// `BUCKET_COUNT` as the type of bucket numbers.
+const WINDOW_BUCKETS: u64 = 10;
+/// Retries allowed per window however few requests there were.
+const MIN_RETRIES: u64 = 1;
 
-/// What happened in one bucket of the window.
+/// The counts of one bucket of the window.
 #[derive(Debug, Clone, Copy, Default)]
 struct RetryBucket {
     number: u64,
@@ -19,32 +19,32 @@
     retries: u64,
 }
 
-/// Requests and retries within the window.
+/// Counts within the window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub(crate) struct RetryCounts {
     /// Requests that came from callers.
     pub(crate) requests: u64,
-    /// Attempts that were made again.
+    /// Retried attempts.
     pub(crate) retries: u64,
 }
 
-/// Limits retries to a share of the recent requests.
+/// Limits retries to a percentage of recent requests.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
     percent: u8,
-    buckets: [RetryBucket; BUCKETS],
+    buckets: [RetryBucket; BUCKET_COUNT],
 }
 
 impl RetryBudget {
-    /// Creates a budget of so many retries per hundred recent requests.
+    /// Creates a budget of `percent` retries per hundred recent requests.
     pub(crate) fn new(percent: u8) -> Self {
         Self {
             percent,
-            buckets: [RetryBucket::default(); BUCKETS],
+            buckets: [RetryBucket::default(); BUCKET_COUNT],
         }
     }
 
-    /// Puts another share in force.
+    /// Changes the percentage.
     pub(crate) fn set_percent(&mut self, percent: u8) {
         self.percent = percent;
     }
@@ -54,17 +54,17 @@
         self.bucket(now).requests += 1;
     }
 
-    /// Takes one retry out of the budget; returns whether it was there.
+    /// Spends one retry; returns `false` if the budget has none left.
     pub(crate) fn take_retry(&mut self, now: ClockMillis) -> bool {
         let counts = self.counts(now);
-        if counts.retries >= self.allowed(counts.requests) {
+        if counts.retries >= self.allowed_retries(counts.requests) {
             return false;
         }
         self.bucket(now).retries += 1;
         true
     }
 
-    /// Returns what happened within the window that ends at `now`.
+    /// Returns the counts of the window that ends at `now`.
     pub(crate) fn counts(&self, now: ClockMillis) -> RetryCounts {
         let current = now.millis() / BUCKET_MILLIS;
         let mut counts = RetryCounts {
@@ -72,7 +72,7 @@
             retries: 0,
         };
         for bucket in &self.buckets {
-            if bucket.number + BUCKET_SPAN > current {
+            if bucket.number + WINDOW_BUCKETS > current {
                 counts.requests += bucket.requests;
                 counts.retries += bucket.retries;
             }
@@ -80,16 +80,16 @@
         counts
     }
 
-    fn allowed(&self, requests: u64) -> u64 {
+    fn allowed_retries(&self, requests: u64) -> u64 {
         if self.percent == 0 {
             return 0;
         }
-        (requests * u64::from(self.percent) / 100).max(LEAST_RETRIES)
+        (requests * u64::from(self.percent) / 100).max(MIN_RETRIES)
     }
 
     fn bucket(&mut self, now: ClockMillis) -> &mut RetryBucket {
         let number = now.millis() / BUCKET_MILLIS;
-        let index = usize::try_from(number % BUCKET_SPAN).unwrap_or(0);
+        let index = usize::try_from(number % WINDOW_BUCKETS).unwrap_or(0);
         let bucket = &mut self.buckets[index];
         if bucket.number != number {
             *bucket = RetryBucket {
--- a/src/agent/retry/retry_decision.rs
+++ b/src/agent/retry/retry_decision.rs
@@ -1,39 +1,39 @@
 use super::RetryBudget;
 use crate::clock::{ClockMillis, SpanMillis};
 
-/// The least time that must be left for another attempt.
-const LEAST_LEFT_MILLIS: SpanMillis = SpanMillis::new(20);
-/// Attempts that one request is given at most.
-const MOST_ATTEMPTS: u32 = 3;
+/// The minimum time left until the deadline for another attempt.
+const MIN_TIME_LEFT_MILLIS: SpanMillis = SpanMillis::new(20);
+/// The maximum number of attempts of one request.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// What is known of an attempt that failed.
+/// Whether a failed attempt may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AttemptFailure {
-    /// Nothing of the request reached the upstream, or it said so itself.
+    /// The request did not reach the upstream, or its receiver reported that it did not run.
     NotRun,
     /// The request reached the upstream and may have run.
     MayHaveRun,
 }
 
-/// What a request allows.
+/// The properties of a request that decide on a retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct RetryPolicy {
     /// Whether the request may run twice.
     pub(crate) idempotent: bool,
-    /// Whether all of its body can be sent again.
+    /// Whether the whole body can be resent.
     pub(crate) replayable: bool,
-    /// When the answer must be there.
+    /// The deadline for the answer.
     pub(crate) deadline: ClockMillis,
 }
 
-/// Whether the attempt is made again.
+/// The decision on a retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RetryDecision {
-    /// Another attempt is made, elsewhere if there is another place.
+    /// Make another attempt, at a peer if there is one.
     Retry,
-    /// The request may not be sent again, or there is no time left.
+    /// Don't retry: not safe, not replayable, too late or too many attempts.
     GiveUp,
-    /// Too many recent requests were retries.
+    /// Don't retry: the retry budget is spent.
     BudgetSpent,
 }
 
@@ -46,9 +46,9 @@
         budget: &mut RetryBudget,
         now: ClockMillis,
     ) -> RetryDecision {
-        let safe = failure == AttemptFailure::NotRun || self.idempotent;
-        let in_time = now.after(LEAST_LEFT_MILLIS) <= self.deadline;
-        if !safe || !self.replayable || !in_time || attempts >= MOST_ATTEMPTS {
+        let safe_to_repeat = failure == AttemptFailure::NotRun || self.idempotent;
+        let in_time = now.after(MIN_TIME_LEFT_MILLIS) <= self.deadline;
+        if !safe_to_repeat || !self.replayable || !in_time || attempts >= MAX_ATTEMPTS {
             return RetryDecision::GiveUp;
         }
         if budget.take_retry(now) {
--- a/src/agent/retry/tests.rs
+++ b/src/agent/retry/tests.rs
@@ -10,7 +10,7 @@
     #![proptest_config(fixed_cases(128))]
 
     #[test]
-    fn retries_stay_within_their_share_of_the_window(
+    fn retries_stay_within_their_percentage_of_the_window(
         percent in 0u8..=50,
         steps in prop::collection::vec((any::<bool>(), 0u64..400), 1..600),
     ) {
@@ -25,8 +25,8 @@
             }
             let before = budget.counts(clock);
             let taken = budget.take_retry(clock);
-            let allowed = before.requests * u64::from(percent) / 100;
-            prop_assert!(!taken || before.retries < allowed.max(1));
+            let allowed_retries = before.requests * u64::from(percent) / 100;
+            prop_assert!(!taken || before.retries < allowed_retries.max(1));
             prop_assert!(!(taken && percent == 0));
         }
     }
@@ -40,7 +40,7 @@
         let now = ClockMillis::new(request);
         budget.record_request(now);
         sent += 1;
-        // Every attempt fails, and every failure asks for another attempt.
+        // Every attempt fails and asks for a retry.
         while budget.take_retry(now) {
             sent += 1;
         }
@@ -62,7 +62,7 @@
 #[case::body_gone(AttemptFailure::NotRun, true, false, 1_000, 0, RetryDecision::GiveUp)]
 #[case::too_late(AttemptFailure::NotRun, true, true, 10, 0, RetryDecision::GiveUp)]
 #[case::too_often(AttemptFailure::NotRun, true, true, 1_000, 3, RetryDecision::GiveUp)]
-fn only_safe_attempts_are_made_again(
+fn only_safe_attempts_are_retried(
     #[case] failure: AttemptFailure,
     #[case] idempotent: bool,
     #[case] replayable: bool,
--- a/src/agent/slot/slot_verdict.rs
+++ b/src/agent/slot/slot_verdict.rs
@@ -24,7 +24,7 @@
 pub(crate) struct SlotRequest {
     /// Decides the order in the queue.
     pub(crate) priority: RequestPriority,
-    /// When the answer must be complete, or must have begun.
+    /// The deadline for the answer.
     pub(crate) deadline: ClockMillis,
     /// Where it comes from.
     pub(crate) origin: SlotOrigin,
