--- a/src/agent/ticket/heir_store.rs
+++ b/src/agent/ticket/heir_store.rs
@@ -3,7 +3,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{
-    HandedState, HandedTicket, KeptOutcome, LedgerHandover, RequestFingerprint, SealedTicket,
+    HandoverState, HandoverTicket, KeptOutcome, LedgerHandover, RequestFingerprint, SealedTicket,
     TicketVerdict,
 };
 use crate::{
@@ -12,63 +12,63 @@
     key::{IncarnationId, TargetKey},
 };
 
-/// Peers that get a copy of a leaving agent's tickets.
-const HEIRS: usize = 2;
-/// Ledgers of peers that are held at most.
-const MOST_LEDGERS: usize = 16;
-/// How long a ledger is held at least, so that unused tickets are answered.
-const KEEP_MILLIS: SpanMillis = SpanMillis::new(300_000);
+/// The number of peers that receive a leaving agent's ledger.
+const SUCCESSOR_COUNT: usize = 2;
+/// The maximum number of stored ledgers.
+const MAX_LEDGERS: usize = 16;
+/// How long a ledger is stored at least: until its unused tickets have expired.
+const MIN_KEEP_MILLIS: SpanMillis = SpanMillis::new(300_000);
 
 /// A used ticket of an agent that has left.
 #[derive(Debug)]
-struct HeldTicket {
+struct StoredTicket {
     fingerprint: RequestFingerprint,
-    state: HeldState,
+    state: StoredState,
 }
 
-/// How the run under it ended.
+/// How the run under a stored ticket ended.
 #[derive(Debug)]
-enum HeldState {
+enum StoredState {
     Finished(Arc<KeptOutcome>),
     FinishedUnkept,
     Unknown,
     Refused,
 }
 
-/// The tickets of an agent that has left.
+/// The ledger of an agent that has left.
 #[derive(Debug)]
-struct HeldLedger {
+struct StoredLedger {
     home: TargetKey,
-    handed_at: ClockMillis,
+    handed_over_at: ClockMillis,
     keep_until: ClockMillis,
-    tickets: HashMap<u64, HeldTicket>,
+    tickets: HashMap<u64, StoredTicket>,
 }
 
-/// Answers for the tickets of peers that have left in order.
+/// Ledgers handed over by leaving peers, to answer requests with their tickets.
 #[derive(Debug, Default)]
 pub(crate) struct HeirStore {
-    ledgers: HashMap<IncarnationId, HeldLedger>,
+    ledgers: HashMap<IncarnationId, StoredLedger>,
 }
 
 impl HeirStore {
-    /// Takes over the tickets of a peer; the one that expires first makes room.
+    /// Stores a peer's ledger; evicts the one that expires first when full.
     pub(crate) fn take_over(&mut self, handover: LedgerHandover, now: ClockMillis) {
         self.expire(now);
-        if self.ledgers.len() >= MOST_LEDGERS {
-            self.drop_first();
+        if self.ledgers.len() >= MAX_LEDGERS {
+            self.evict_first_expiring();
         }
-        let longest = handover.tickets.iter().map(|ticket| ticket.keep).max();
-        let keep = longest.unwrap_or_default().max(KEEP_MILLIS);
-        let ledger = HeldLedger {
+        let longest = handover.tickets.iter().map(|ticket| ticket.keep_for).max();
+        let keep_for = longest.unwrap_or_default().max(MIN_KEEP_MILLIS);
+        let ledger = StoredLedger {
             home: handover.home,
-            handed_at: handover.clock,
-            keep_until: now.after(keep),
-            tickets: handover.tickets.into_iter().map(hold_ticket).collect(),
+            handed_over_at: handover.handed_over_at,
+            keep_until: now.after(keep_for),
+            tickets: handover.tickets.into_iter().map(store_ticket).collect(),
         };
         self.ledgers.insert(handover.incarnation, ledger);
     }
 
-    /// Answers for a ticket of a peer that has left; nothing if it is unknown.
+    /// Decides on a ticket of a peer that has left; `None` if its ledger is not stored.
     pub(crate) fn present(
         &mut self,
         ticket: SealedTicket,
@@ -83,7 +83,7 @@
         Some(ledger.answer(ticket, fingerprint))
     }
 
-    /// Returns how many ledgers are held.
+    /// Returns the number of stored ledgers.
     pub(crate) fn len(&self) -> usize {
         self.ledgers.len()
     }
@@ -92,7 +92,7 @@
         self.ledgers.retain(|_, ledger| ledger.keep_until > now);
     }
 
-    fn drop_first(&mut self) {
+    fn evict_first_expiring(&mut self) {
         let first = self
             .ledgers
             .iter()
@@ -104,27 +104,27 @@
     }
 }
 
-impl HeldLedger {
+impl StoredLedger {
     fn answer(&self, ticket: SealedTicket, fingerprint: RequestFingerprint) -> TicketVerdict {
-        let Some(held) = self.tickets.get(&ticket.serial) else {
+        let Some(stored) = self.tickets.get(&ticket.serial) else {
             return TicketVerdict::Answer(self.answer_unused(ticket));
         };
-        if held.fingerprint != fingerprint {
+        if stored.fingerprint != fingerprint {
             return TicketVerdict::Answer(FinalAnswer::TicketMismatch);
         }
-        match &held.state {
-            HeldState::Finished(outcome) => TicketVerdict::Replay(Arc::clone(outcome)),
-            HeldState::FinishedUnkept => TicketVerdict::Answer(FinalAnswer::AnswerNotKept),
-            HeldState::Unknown => TicketVerdict::Answer(FinalAnswer::OutcomeUnknown),
-            HeldState::Refused => TicketVerdict::Answer(FinalAnswer::TicketNeeded),
+        match &stored.state {
+            StoredState::Finished(outcome) => TicketVerdict::Replay(Arc::clone(outcome)),
+            StoredState::FinishedUnkept => TicketVerdict::Answer(FinalAnswer::AnswerNotKept),
+            StoredState::Unknown => TicketVerdict::Answer(FinalAnswer::OutcomeUnknown),
+            StoredState::Refused => TicketVerdict::Answer(FinalAnswer::TicketNeeded),
         }
     }
 
-    /// Answers for a ticket that was not used when its agent left.
+    /// Returns the answer for a ticket that the ledger does not list.
     ///
-    /// One that had expired by then may have run and been forgotten before.
+    /// A ticket that had expired by then may have run and been removed before.
     fn answer_unused(&self, ticket: SealedTicket) -> FinalAnswer {
-        if ticket.expires <= self.handed_at {
+        if ticket.expires <= self.handed_over_at {
             FinalAnswer::OutcomeUnknown
         } else {
             FinalAnswer::TicketNeeded
@@ -132,9 +132,9 @@
     }
 }
 
-/// Returns the peers that answer for an agent that has left, best first.
+/// Chooses the peers that answer for an agent that has left, by rendezvous hashing.
 ///
-/// Every agent names the same ones as long as it knows the same peers.
+/// Agents that know the same peers choose the same ones in the same order.
 pub(crate) fn choose_heirs(
     incarnation: IncarnationId,
     peers: impl Iterator<Item = TargetKey>,
@@ -144,7 +144,7 @@
     scored.sort_unstable();
     scored
         .into_iter()
-        .take(HEIRS)
+        .take(SUCCESSOR_COUNT)
         .map(|(_, peer)| peer)
         .collect()
 }
@@ -157,13 +157,13 @@
     xxh3_64_with_seed(&bytes, incarnation.number())
 }
 
-fn hold_ticket(ticket: HandedTicket) -> (u64, HeldTicket) {
+fn store_ticket(ticket: HandoverTicket) -> (u64, StoredTicket) {
     let state = match ticket.state {
-        HandedState::Finished(outcome) => HeldState::Finished(Arc::new(outcome)),
-        HandedState::FinishedUnkept => HeldState::FinishedUnkept,
-        HandedState::Unknown => HeldState::Unknown,
-        HandedState::Refused => HeldState::Refused,
+        HandoverState::Finished(outcome) => StoredState::Finished(Arc::new(outcome)),
+        HandoverState::FinishedUnkept => StoredState::FinishedUnkept,
+        HandoverState::Unknown => StoredState::Unknown,
+        HandoverState::Refused => StoredState::Refused,
     };
     let fingerprint = ticket.fingerprint;
-    (ticket.serial, HeldTicket { fingerprint, state })
+    (ticket.serial, StoredTicket { fingerprint, state })
 }
--- a/src/agent/ticket/kept_outcome.rs
+++ b/src/agent/ticket/kept_outcome.rs
@@ -1,8 +1,8 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{base64::Base64, serde_as};
 
-/// The bytes that an outcome takes besides its header fields and its body.
-const BASE_BYTES: usize = 64;
+/// Estimated memory overhead of an outcome and of each of its header fields.
+const OVERHEAD_BYTES: usize = 64;
 
 /// One header field of a kept outcome.
 #[serde_as]
@@ -15,7 +15,7 @@
     pub(crate) value: Vec<u8>,
 }
 
-/// The whole answer of an upstream, kept for callers that ask again.
+/// The complete answer of an upstream, kept to replay it to resent requests.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct KeptOutcome {
@@ -23,19 +23,19 @@
     pub(crate) status: u16,
     /// The header fields of the answer.
     pub(crate) headers: Vec<KeptHeader>,
-    /// The whole body.
+    /// The complete body.
     #[serde_as(as = "Base64")]
     pub(crate) body: Vec<u8>,
 }
 
 impl KeptOutcome {
-    /// Returns about how many bytes the outcome takes in memory.
+    /// Returns the estimated memory use in bytes.
     pub(crate) fn bytes(&self) -> usize {
         let headers: usize = self
             .headers
             .iter()
-            .map(|header| header.name.len() + header.value.len() + BASE_BYTES)
+            .map(|header| header.name.len() + header.value.len() + OVERHEAD_BYTES)
             .sum();
-        BASE_BYTES + headers + self.body.len()
+        OVERHEAD_BYTES + headers + self.body.len()
     }
 }
--- a/src/agent/ticket/ledger_entry.rs
+++ b/src/agent/ticket/ledger_entry.rs
@@ -6,13 +6,13 @@
 use super::KeptOutcome;
 use crate::clock::ClockMillis;
 
-/// Tells requests of different content apart that carry the same ticket.
+/// A hash of a request, to detect different requests with the same ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct RequestFingerprint(u64);
 
 impl RequestFingerprint {
-    /// Takes in what is known of a request before its body is read.
+    /// Hashes what is known before the body is read; `length` is the body's, if it was sent.
     pub(crate) fn new(method: &str, path: &str, length: Option<u64>) -> Self {
         let mut hash = Xxh3::new();
         hash.update(method.as_bytes());
@@ -24,29 +24,29 @@
     }
 }
 
-/// How the one run under a ticket ended.
+/// How the run under a ticket ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum RunOutcome {
-    /// It ran, and this is the whole answer.
+    /// It ran; this is the complete answer.
     Finished(KeptOutcome),
-    /// It ran, and its answer was too large to keep.
+    /// It ran, but its answer was too large to keep.
     FinishedUnkept,
     /// It may have run.
     Unknown,
-    /// It did not run, and its callers were told so: it never will.
+    /// It did not run, and its callers received that answer: it never will.
     NotRun,
-    /// It did not run, and nobody was told so: a resend may run.
+    /// It did not run, and no caller received an answer: a resent request may run.
     Withdrawn,
 }
 
-/// What the ledger knows of a ticket that was used.
+/// The state of a used ticket.
 #[derive(Debug, Clone)]
 pub(super) enum EntryState {
-    /// The one run is on its way; so many callers wait for its outcome.
+    /// The run is in progress; `attached` callers wait for its outcome.
     Running { attached: u32 },
-    /// It ran, and this is the whole answer.
+    /// It ran; this is the complete answer.
     Finished(Arc<KeptOutcome>),
-    /// It ran, and its answer was not kept.
+    /// It ran, but its answer was not kept.
     FinishedUnkept,
     /// It may have run.
     Unknown,
@@ -54,7 +54,7 @@
     Refused,
 }
 
-/// A ticket that was used.
+/// The ledger's record of a used ticket.
 #[derive(Debug, Clone)]
 pub(super) struct LedgerEntry {
     pub(super) serial: u64,
@@ -64,7 +64,7 @@
 }
 
 impl LedgerEntry {
-    /// Returns the bytes of the outcome that the entry keeps.
+    /// Returns the size in bytes of the entry's outcome.
     pub(super) fn kept_bytes(&self) -> usize {
         match &self.state {
             EntryState::Finished(outcome) => outcome.bytes(),
--- a/src/agent/ticket/ledger_handover.rs
+++ b/src/agent/ticket/ledger_handover.rs
@@ -9,13 +9,13 @@
     key::{IncarnationId, TargetKey},
 };
 
-/// How a run ended, as it is told to a peer.
+/// How a run ended, as handed over to a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum HandedState {
-    /// It ran, and this is the whole answer.
+pub(crate) enum HandoverState {
+    /// It ran; this is the complete answer.
     Finished(KeptOutcome),
-    /// It ran, and its answer was not kept.
+    /// It ran, but its answer was not kept.
     FinishedUnkept,
     /// It may have run.
     Unknown,
@@ -23,33 +23,35 @@
     Refused,
 }
 
-/// A used ticket, as it is told to a peer.
+/// A used ticket, as handed over to a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct HandedTicket {
-    /// The ticket's place in the order of minting.
+pub(crate) struct HandoverTicket {
+    /// The ticket's serial number, from 1 in order of minting.
     pub(crate) serial: u64,
-    /// The content that it was used for.
+    /// The fingerprint of the request that used it.
     pub(crate) fingerprint: RequestFingerprint,
-    /// How long it is to be kept.
-    pub(crate) keep: SpanMillis,
+    /// How long to keep it.
+    #[serde(rename = "keep")]
+    pub(crate) keep_for: SpanMillis,
     /// How the run ended.
-    pub(crate) state: HandedState,
+    pub(crate) state: HandoverState,
 }
 
-/// Everything that a leaving agent knows of its tickets.
+/// The ledger of a leaving agent, as handed over to a peer.
 ///
-/// The leaving agent begins no run any more, so a ticket that is not listed
-/// did not run and never will, as long as it has not expired.
+/// The leaving agent starts no further run, so a ticket that is not listed and
+/// had not expired did not run and never will.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LedgerHandover {
-    /// The target that leaves.
+    /// The leaving target.
     pub(crate) home: TargetKey,
-    /// The run that ends.
+    /// The agent's incarnation that ends.
     pub(crate) incarnation: IncarnationId,
-    /// The clock of that run when it handed over.
-    pub(crate) clock: ClockMillis,
-    /// Its used tickets.
-    pub(crate) tickets: Vec<HandedTicket>,
+    /// The time of the handover, by the clock of that incarnation.
+    #[serde(rename = "clock")]
+    pub(crate) handed_over_at: ClockMillis,
+    /// The used tickets.
+    pub(crate) tickets: Vec<HandoverTicket>,
 }
 
 impl LedgerHandover {
@@ -60,27 +62,27 @@
         entries: impl Iterator<Item = &'a LedgerEntry>,
     ) -> Self {
         let tickets = entries
-            .map(|entry| HandedTicket {
+            .map(|entry| HandoverTicket {
                 serial: entry.serial,
                 fingerprint: entry.fingerprint,
-                keep: entry.keep_until.since(now),
-                state: handed_state(&entry.state),
+                keep_for: entry.keep_until.since(now),
+                state: handover_state(&entry.state),
             })
             .collect();
         Self {
             home,
             incarnation,
-            clock: now,
+            handed_over_at: now,
             tickets,
         }
     }
 }
 
-fn handed_state(state: &EntryState) -> HandedState {
+fn handover_state(state: &EntryState) -> HandoverState {
     match state {
-        EntryState::Finished(outcome) => HandedState::Finished(KeptOutcome::clone(outcome)),
-        EntryState::FinishedUnkept => HandedState::FinishedUnkept,
-        EntryState::Running { .. } | EntryState::Unknown => HandedState::Unknown,
-        EntryState::Refused => HandedState::Refused,
+        EntryState::Finished(outcome) => HandoverState::Finished(KeptOutcome::clone(outcome)),
+        EntryState::FinishedUnkept => HandoverState::FinishedUnkept,
+        EntryState::Running { .. } | EntryState::Unknown => HandoverState::Unknown,
+        EntryState::Refused => HandoverState::Refused,
     }
 }
--- a/src/agent/ticket/mod.rs
+++ b/src/agent/ticket/mod.rs
@@ -1,4 +1,4 @@
-//! Tickets: the keys under which a request runs at most once.
+//! Idempotency tickets: keys under which a request runs at most once.
 
 mod heir_store;
 mod kept_outcome;
@@ -11,7 +11,7 @@
 pub(crate) use heir_store::{HeirStore, choose_heirs};
 pub(crate) use kept_outcome::{KeptHeader, KeptOutcome};
 pub(crate) use ledger_entry::{RequestFingerprint, RunOutcome};
-pub(crate) use ledger_handover::{HandedState, HandedTicket, LedgerHandover};
+pub(crate) use ledger_handover::{HandoverState, HandoverTicket, LedgerHandover};
 pub(crate) use sealed_ticket::{SealedTicket, TicketError};
 pub(crate) use ticket_ledger::{LedgerCounts, LedgerLimits, TicketLedger};
 pub(crate) use ticket_verdict::{DetachVerdict, RunKey, TicketVerdict};
--- a/src/agent/ticket/sealed_ticket.rs
+++ b/src/agent/ticket/sealed_ticket.rs
@@ -13,45 +13,45 @@
     secret::KeyRing,
 };
 
-/// The start of every ticket's text, with the version of its form.
+/// The prefix of every ticket's text, with the format version.
 const TEXT_PREFIX: &str = "cyt1-";
-/// The bytes of a ticket without its seal.
+/// The length of a ticket without its seal.
 const CONTENT_BYTES: usize = 33;
-/// The bytes of the seal.
+/// The length of the seal, a truncated HMAC.
 const SEAL_BYTES: usize = 16;
-/// The bytes of a whole ticket.
+/// The length of a ticket with its seal.
 const TICKET_BYTES: usize = CONTENT_BYTES + SEAL_BYTES;
 
-/// Why a key can't be used as a ticket.
+/// Why an idempotency key is not a valid ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(crate) enum TicketError {
-    /// The key has not the form of a ticket; nothing ever ran under it.
-    #[error("the key is no ticket")]
-    NoTicket,
-    /// The key has the form of a ticket, and no live secret sealed it.
+    /// The key does not have the format of a ticket; nothing ever ran under it.
+    #[error("the key is not a ticket")]
+    Malformed,
+    /// The key has the format of a ticket, but no live secret verifies its seal.
     ///
-    /// It may be an old ticket under which a request once ran.
-    #[error("no live secret sealed this ticket")]
-    Unsealed,
+    /// It may be an old ticket under which a request ran.
+    #[error("no live secret verifies the seal of this ticket")]
+    InvalidSeal,
 }
 
-/// A ticket whose seal was verified or is about to be made.
+/// The content of a ticket whose seal was verified or is about to be computed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct SealedTicket {
-    /// The target whose agent alone may run it.
+    /// The target whose agent minted it; only that agent may run it.
     pub(crate) home: TargetKey,
     /// The service of that target.
     pub(crate) service: ServiceNumber,
-    /// The run of that agent.
+    /// The incarnation of that agent.
     pub(crate) incarnation: IncarnationId,
-    /// The place in the order of minting, from 1.
+    /// The serial number, from 1 in order of minting.
     pub(crate) serial: u64,
-    /// When it expires, by the clock of that run.
+    /// When it expires, by the clock of that incarnation.
     pub(crate) expires: ClockMillis,
 }
 
 impl SealedTicket {
-    /// Returns the ticket as text, sealed with the keys in use.
+    /// Returns the ticket as text, sealed with the active key.
     pub(crate) fn seal(&self, keys: &KeyRing) -> String {
         let active = keys.active();
         let content = self.encode(active.epoch_bits);
@@ -65,18 +65,18 @@
         text
     }
 
-    /// Reads a ticket from a key that a caller sent.
+    /// Parses and verifies the idempotency key of a request.
     ///
     /// # Errors
     ///
-    /// Fails when the key has another form, or when no live secret sealed it.
+    /// Fails when the key is not a ticket or no live secret verifies its seal.
     pub(crate) fn open(text: &str, keys: &KeyRing) -> Result<Self, TicketError> {
-        let bytes = decode_text(text).ok_or(TicketError::NoTicket)?;
+        let bytes = decode_hex(text).ok_or(TicketError::Malformed)?;
         let (content, seal) = bytes.split_at(CONTENT_BYTES);
-        let epoch = keys.find(content[0]).ok_or(TicketError::Unsealed)?;
+        let epoch = keys.find(content[0]).ok_or(TicketError::InvalidSeal)?;
         let expected = hmac::sign(&epoch.ticket_key, content);
-        if !is_equal(&expected.as_ref()[..SEAL_BYTES], seal) {
-            return Err(TicketError::Unsealed);
+        if !constant_time_eq(&expected.as_ref()[..SEAL_BYTES], seal) {
+            return Err(TicketError::InvalidSeal);
         }
         Ok(Self::decode(content))
     }
@@ -100,9 +100,9 @@
         Self {
             home: TargetKey::new(SocketAddrV4::new(ip, port)),
             service: ServiceNumber::new(u16::from_be_bytes([content[7], content[8]])),
-            incarnation: IncarnationId::new(read_number(&content[9..17])),
-            serial: read_number(&content[17..25]),
-            expires: ClockMillis::new(read_number(&content[25..33])),
+            incarnation: IncarnationId::new(read_u64(&content[9..17])),
+            serial: read_u64(&content[17..25]),
+            expires: ClockMillis::new(read_u64(&content[25..33])),
         }
     }
 }
@@ -117,25 +117,25 @@
     }
 }
 
-fn read_number(bytes: &[u8]) -> u64 {
+fn read_u64(bytes: &[u8]) -> u64 {
     bytes
         .iter()
         .fold(0, |number, byte| number << 8 | u64::from(*byte))
 }
 
-fn decode_text(text: &str) -> Option<[u8; TICKET_BYTES]> {
+fn decode_hex(text: &str) -> Option<[u8; TICKET_BYTES]> {
     let digits = text.strip_prefix(TEXT_PREFIX)?.as_bytes();
     if digits.len() != 2 * TICKET_BYTES {
         return None;
     }
     let mut bytes = [0; TICKET_BYTES];
     for (byte, pair) in bytes.iter_mut().zip(digits.chunks_exact(2)) {
-        *byte = digit(pair[0])? << 4 | digit(pair[1])?;
+        *byte = hex_digit(pair[0])? << 4 | hex_digit(pair[1])?;
     }
     Some(bytes)
 }
 
-fn digit(symbol: u8) -> Option<u8> {
+fn hex_digit(symbol: u8) -> Option<u8> {
     match symbol {
         b'0'..=b'9' => Some(symbol - b'0'),
         b'a'..=b'f' => Some(symbol - b'a' + 10),
@@ -143,8 +143,8 @@
     }
 }
 
-/// Compares without telling by its run time where the first difference is.
-fn is_equal(left: &[u8], right: &[u8]) -> bool {
+/// Compares in constant time, so that the duration does not reveal the first difference.
+fn constant_time_eq(left: &[u8], right: &[u8]) -> bool {
     let difference = left
         .iter()
         .zip(right)
--- a/src/agent/ticket/ticket_ledger.rs
+++ b/src/agent/ticket/ticket_ledger.rs
@@ -18,26 +18,26 @@
     secret::KeyRing,
 };
 
-/// How long a fresh ticket may be used for its first attempt.
-const TICKET_MILLIS: SpanMillis = SpanMillis::new(300_000);
-/// How long an outcome is kept at least once it is there.
-const KEEP_MILLIS: SpanMillis = SpanMillis::new(120_000);
-/// When to come back while the ledger is full.
+/// How long a minted ticket is valid for its first use.
+const TICKET_TTL_MILLIS: SpanMillis = SpanMillis::new(300_000);
+/// How long an outcome is kept at least.
+const MIN_KEEP_MILLIS: SpanMillis = SpanMillis::new(120_000);
+/// `retry_after` while the ledger is full.
 const FULL_RETRY_MILLIS: SpanMillis = SpanMillis::new(2_000);
 
-/// How much the ledger may hold.
+/// The capacity of a ledger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct LedgerLimits {
-    /// Tickets that ran, run or may have run.
+    /// Used tickets that were not refused.
     pub(crate) tickets: usize,
-    /// Tickets that were refused before a watermark replaces them.
+    /// Refused tickets, before the watermark replaces their entries.
     pub(crate) refused: usize,
     /// Bytes of kept outcomes.
     pub(crate) bytes: usize,
 }
 
 impl LedgerLimits {
-    /// The limits of an agent.
+    /// The limits in production.
     pub(crate) const DEFAULT: Self = Self {
         tickets: 32_768,
         refused: 8_192,
@@ -45,28 +45,28 @@
     };
 }
 
-/// What the ledger holds.
+/// The size and state of a ledger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub(crate) struct LedgerCounts {
-    /// Tickets that were used and are remembered.
+    /// Used tickets with an entry.
     pub(crate) tickets: usize,
-    /// Those among them that were refused.
+    /// Refused tickets among them.
     pub(crate) refused: usize,
     /// Bytes of kept outcomes.
     pub(crate) bytes: usize,
-    /// Tickets that were minted since the start.
+    /// Tickets minted since the start.
     pub(crate) minted: u64,
-    /// Whether no new run is begun any more.
+    /// Whether the ledger was handed over and starts no new run.
     pub(crate) closed: bool,
 }
 
-/// Knows every ticket of one run of an agent, and runs each at most once.
+/// Tracks the tickets of one incarnation of an agent and lets each run at most once.
 ///
-/// A minted ticket takes no memory until it is used. A used one is never
-/// forgotten before it has expired, so one that is unknown and not expired
-/// has not run. Tickets are numbered in the order of minting: refused ones
-/// that are too many to remember are covered by a watermark, below which an
-/// unknown ticket never runs.
+/// A minted ticket uses no memory until it is used. The entry of a used ticket
+/// is kept until the ticket has expired, so a ticket without an entry that has
+/// not expired did not run. Serial numbers follow the order of minting: when
+/// there are too many refused tickets, a watermark replaces their entries, and a
+/// ticket without an entry at or below the watermark never runs.
 #[derive(Debug)]
 pub(crate) struct TicketLedger {
     home: TargetKey,
@@ -74,7 +74,7 @@
     incarnation: IncarnationId,
     limits: LedgerLimits,
     entries: SlotMap<RunKey, LedgerEntry>,
-    serials: HashMap<u64, RunKey>,
+    runs_by_serial: HashMap<u64, RunKey>,
     expiry: BTreeSet<(ClockMillis, RunKey)>,
     refused: usize,
     bytes: usize,
@@ -84,7 +84,7 @@
 }
 
 impl TicketLedger {
-    /// Creates the empty ledger of a run that has just begun.
+    /// Creates the empty ledger of a new incarnation.
     pub(crate) fn new(
         home: TargetKey,
         service: ServiceNumber,
@@ -97,7 +97,7 @@
             incarnation,
             limits,
             entries: SlotMap::with_key(),
-            serials: HashMap::new(),
+            runs_by_serial: HashMap::new(),
             expiry: BTreeSet::new(),
             refused: 0,
             bytes: 0,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Mints a fresh ticket.
+    /// Mints a new ticket.
     pub(crate) fn mint(&mut self, keys: &KeyRing, now: ClockMillis) -> String {
         self.minted += 1;
         SealedTicket {
@@ -115,12 +115,12 @@
             service: self.service,
             incarnation: self.incarnation,
             serial: self.minted,
-            expires: now.after(TICKET_MILLIS),
+            expires: now.after(TICKET_TTL_MILLIS),
         }
         .seal(keys)
     }
 
-    /// Decides on a request that carries the key `text`.
+    /// Decides on a request with the idempotency key `text`.
     pub(crate) fn present(
         &mut self,
         text: &str,
@@ -131,25 +131,25 @@
         self.expire(now);
         let ticket = match SealedTicket::open(text, keys) {
             Ok(ticket) => ticket,
-            Err(TicketError::NoTicket) => return TicketVerdict::Answer(FinalAnswer::TicketNeeded),
-            Err(TicketError::Unsealed) => {
+            Err(TicketError::Malformed) => return TicketVerdict::Answer(FinalAnswer::TicketNeeded),
+            Err(TicketError::InvalidSeal) => {
                 return TicketVerdict::Answer(FinalAnswer::OutcomeUnknown);
             }
         };
         if ticket.service != self.service {
-            // A ticket of another service never ran in this one and never will.
+            // A ticket of another service never ran on this one and never will.
             return TicketVerdict::Answer(FinalAnswer::TicketMismatch);
         }
         if ticket.home != self.home || ticket.incarnation != self.incarnation {
             return TicketVerdict::Relay(ticket);
         }
-        match self.serials.get(&ticket.serial) {
+        match self.runs_by_serial.get(&ticket.serial) {
             Some(run) => self.present_known(*run, fingerprint),
-            None => self.present_fresh(ticket, fingerprint, now),
+            None => self.present_unused(ticket, fingerprint, now),
         }
     }
 
-    /// Records how the one run under a ticket ended.
+    /// Records how the run under a ticket ended.
     pub(crate) fn settle(&mut self, run: RunKey, outcome: RunOutcome, now: ClockMillis) {
         let Some(entry) = self.entries.get(run) else {
             return;
@@ -158,14 +158,14 @@
             return;
         };
         let state = match outcome {
-            RunOutcome::Finished(answer) => self.keep_answer(answer),
+            RunOutcome::Finished(answer) => self.store_answer(answer),
             RunOutcome::FinishedUnkept => EntryState::FinishedUnkept,
             RunOutcome::Unknown => EntryState::Unknown,
             RunOutcome::Withdrawn if attached == 0 => {
-                self.forget(run);
+                self.remove_entry(run);
                 return;
             }
-            // Whoever still waits is told that it did not run.
+            // Callers that still wait get the answer that it did not run.
             RunOutcome::NotRun | RunOutcome::Withdrawn => {
                 self.refused += 1;
                 EntryState::Refused
@@ -175,7 +175,7 @@
         self.compact_refused();
     }
 
-    /// Returns how a run that was waited for has ended; nothing while it runs.
+    /// Returns the result of a run; `None` while it is in progress.
     pub(crate) fn outcome(&self, run: RunKey) -> Option<TicketVerdict> {
         match self.entries.get(run) {
             Some(entry) => settled_verdict(&entry.state),
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Counts one caller of a run less.
+    /// Detaches one caller from a run.
     pub(crate) fn detach(&mut self, run: RunKey) -> DetachVerdict {
         let Some(LedgerEntry {
             state: EntryState::Running { attached },
@@ -200,16 +200,16 @@
         }
     }
 
-    /// Begins no new run from now on and returns what a peer has to know.
+    /// Closes the ledger to new runs and returns its content for a peer.
     ///
-    /// A run that is still on its way is handed over as unknown.
+    /// A run in progress is handed over as unknown.
     pub(crate) fn hand_over(&mut self, now: ClockMillis) -> LedgerHandover {
         self.closed = true;
         self.expire(now);
         LedgerHandover::new(self.home, self.incarnation, now, self.entries.values())
     }
 
-    /// Returns what the ledger holds.
+    /// Returns the size and state of the ledger.
     pub(crate) fn counts(&self) -> LedgerCounts {
         LedgerCounts {
             tickets: self.entries.len(),
@@ -232,14 +232,14 @@
         settled_verdict(&entry.state).unwrap_or(TicketVerdict::Await(run))
     }
 
-    fn present_fresh(
+    fn present_unused(
         &mut self,
         ticket: SealedTicket,
         fingerprint: RequestFingerprint,
         now: ClockMillis,
     ) -> TicketVerdict {
         if ticket.expires <= now {
-            // It may have run and been forgotten since.
+            // It may have run, and its entry has been removed since.
             return TicketVerdict::Answer(FinalAnswer::OutcomeUnknown);
         }
         if self.closed || ticket.serial <= self.watermark {
@@ -259,12 +259,12 @@
             keep_until,
             state: EntryState::Running { attached: 1 },
         });
-        self.serials.insert(ticket.serial, run);
+        self.runs_by_serial.insert(ticket.serial, run);
         self.expiry.insert((keep_until, run));
         TicketVerdict::Run(run)
     }
 
-    fn keep_answer(&mut self, answer: KeptOutcome) -> EntryState {
+    fn store_answer(&mut self, answer: KeptOutcome) -> EntryState {
         let bytes = answer.bytes();
         if self.bytes + bytes > self.limits.bytes {
             return EntryState::FinishedUnkept;
@@ -277,11 +277,11 @@
         let entry = &mut self.entries[run];
         self.expiry.remove(&(entry.keep_until, run));
         entry.state = state;
-        entry.keep_until = entry.keep_until.max(now.after(KEEP_MILLIS));
+        entry.keep_until = entry.keep_until.max(now.after(MIN_KEEP_MILLIS));
         self.expiry.insert((entry.keep_until, run));
     }
 
-    /// Lets the watermark cover the refused tickets once they are too many.
+    /// Replaces the entries of refused tickets by the watermark once there are too many.
     fn compact_refused(&mut self) {
         if self.refused <= self.limits.refused {
             return;
@@ -295,7 +295,7 @@
         for run in refused {
             let serial = self.entries[run].serial;
             self.watermark = self.watermark.max(serial);
-            self.forget(run);
+            self.remove_entry(run);
         }
     }
 
@@ -309,22 +309,22 @@
             if matches!(self.entries[run].state, EntryState::Running { .. }) {
                 running.push(run);
             } else {
-                self.forget(run);
+                self.remove_entry(run);
             }
         }
         for run in running {
-            let later = now.after(KEEP_MILLIS);
+            let later = now.after(MIN_KEEP_MILLIS);
             self.entries[run].keep_until = later;
             self.expiry.insert((later, run));
         }
     }
 
-    fn forget(&mut self, run: RunKey) {
+    fn remove_entry(&mut self, run: RunKey) {
         let Some(entry) = self.entries.remove(run) else {
             return;
         };
         self.expiry.remove(&(entry.keep_until, run));
-        self.serials.remove(&entry.serial);
+        self.runs_by_serial.remove(&entry.serial);
         self.bytes -= entry.kept_bytes();
         if matches!(entry.state, EntryState::Refused) {
             self.refused -= 1;
@@ -332,7 +332,7 @@
     }
 }
 
-/// Returns the answer of a run that has ended; nothing while it runs.
+/// Returns the verdict for a run that has ended; `None` while it is in progress.
 fn settled_verdict(state: &EntryState) -> Option<TicketVerdict> {
     match state {
         EntryState::Running { .. } => None,
--- a/src/agent/ticket/ticket_verdict.rs
+++ b/src/agent/ticket/ticket_verdict.rs
@@ -4,30 +4,30 @@
 use crate::agent::outcome::FinalAnswer;
 
 slotmap::new_key_type! {
-    /// Names the one run under a ticket.
+    /// Key of the single run under a ticket.
     pub(crate) struct RunKey;
 }
 
-/// What is to be done with a request that carries an idempotency key.
+/// The decision on a request with an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum TicketVerdict {
-    /// This request is the one run; its outcome must be settled.
+    /// Run this request; its outcome must be settled.
     Run(RunKey),
-    /// The one run is on its way; its outcome answers this request too.
+    /// The run is in progress; its outcome answers this request too.
     Await(RunKey),
-    /// The request ran; this is its answer.
+    /// The request ran; replay its answer.
     Replay(Arc<KeptOutcome>),
-    /// Only the agent that minted the ticket, or its heir, may decide.
+    /// The agent that minted the ticket, or a successor, must decide.
     Relay(SealedTicket),
-    /// The agent answers itself.
+    /// The agent answers the request itself.
     Answer(FinalAnswer),
 }
 
-/// Who is left when one caller of a run is gone.
+/// Whether other callers wait for a run when one is gone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum DetachVerdict {
-    /// Other callers wait for the same run; it goes on.
+    /// Other callers wait for the same run; it continues.
     OthersWait,
-    /// Nobody waits for the run any more.
+    /// No caller waits for the run.
     NobodyWaits,
 }
