--- a/src/agent/drain/drain_event.rs
+++ b/src/agent/drain/drain_event.rs
@@ -3,53 +3,53 @@
 use super::OpenWork;
 use crate::{clock::SpanMillis, route::TargetPhase};
 
-/// What is to happen once everything is finished.
+/// What the agent does once it is drained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum DrainGoal {
-    /// The agent stays and reports that it is drained.
+    /// It keeps running and reports that it is drained.
     Stay,
-    /// The agent withdraws its target and stops.
+    /// It withdraws its target and exits.
     Exit,
 }
 
-/// What the drain has to react to.
+/// An event of the drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum DrainEvent {
-    /// An operator or a signal asks for the planned stop.
+    /// An operator or a signal starts the drain.
     Begin {
-        /// What is to happen at the end.
+        /// What to do once drained.
         goal: DrainGoal,
-        /// When to cut what still runs; only an operator gives one.
+        /// How long until open work is cut; only an operator sets one.
         deadline: Option<SpanMillis>,
     },
-    /// An operator takes the drain back.
+    /// An operator cancels the drain.
     Cancel,
-    /// The agent is to stop now, whatever runs.
+    /// The agent must exit now, with open work cut.
     #[allow(
         dead_code,
-        reason = "a second signal ends the process by itself so far"
+        reason = "a second signal currently ends the process directly"
     )]
     StopNow,
     /// Control committed the announced phase.
     Announced(TargetPhase),
-    /// The open work was counted, or time has passed.
+    /// The open work at this time; sent again as time passes.
     Counted(OpenWork),
 }
 
-/// What the shell is to do.
+/// An action that the I/O layer carries out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum DrainAction {
-    /// Pass new connections on, or take them again, from now on.
+    /// Change the phase: pass new connections on, or accept them again.
     SetPhase(TargetPhase),
-    /// Announce the phase to control, and again until it is committed.
+    /// Announce the phase to control until it is committed.
     Announce(TargetPhase),
-    /// Tell every open connection to bring no new requests.
+    /// Send GOAWAY on every open connection, so that it brings no new requests.
     SendGoAway,
-    /// Hand the tickets over to a peer, so that resends get their answers.
+    /// Hand the tickets over to peers, so that resent requests get their answers.
     HandOverTickets,
-    /// Cut what still runs: the operator's deadline has passed.
+    /// Cut the open work: the operator's deadline has passed, or the agent stops now.
     CutOpenWork,
-    /// Withdraw the registration and stop the process.
+    /// Withdraw the registration and exit the process.
     Exit,
 }
--- a/src/agent/drain/drain_machine.rs
+++ b/src/agent/drain/drain_machine.rs
@@ -4,43 +4,43 @@
     route::TargetPhase,
 };
 
-/// How long a committed announcement takes at most to reach every balancer.
-const SETTLE_MILLIS: SpanMillis = SpanMillis::new(2_000);
+/// The maximum time for a committed announcement to reach every balancer.
+const PROPAGATION_MILLIS: SpanMillis = SpanMillis::new(2_000);
 /// How long the drain waits for control to commit the announcement.
-const CONTROL_AWAY_MILLIS: SpanMillis = SpanMillis::new(10_000);
+const CONTROL_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(10_000);
 
-/// Leads a target through its planned stop.
+/// The state machine of a graceful drain.
 ///
-/// It cuts nothing by itself: open work ends by finishing, by the operator's
-/// deadline, or by a stop that does not wait. A drain lives in memory alone,
-/// so a killed agent comes back as a new run that serves.
+/// Open work ends by finishing, at the operator's deadline, or by `StopNow`;
+/// the drain has no deadline of its own. Its state is only in memory, so a
+/// killed agent restarts as a new incarnation that serves.
 #[derive(Debug)]
 pub(crate) struct DrainMachine {
     stage: DrainStage,
     goal: DrainGoal,
-    announced_at: Option<ClockMillis>,
+    committed_at: Option<ClockMillis>,
     open: OpenWork,
 }
 
 impl DrainMachine {
-    /// Creates the machine of a target that serves.
+    /// Creates the machine of a serving target.
     pub(crate) fn new() -> Self {
         Self {
             stage: DrainStage::Serving,
             goal: DrainGoal::Stay,
-            announced_at: None,
+            committed_at: None,
             open: OpenWork::default(),
         }
     }
 
-    /// Reacts to an event at `now`.
+    /// Handles an event at `now`.
     pub(crate) fn handle(&mut self, event: DrainEvent, now: ClockMillis) -> Vec<DrainAction> {
         match event {
             DrainEvent::Begin { goal, deadline } => self.begin(goal, deadline, now),
             DrainEvent::Cancel => self.cancel(),
             DrainEvent::StopNow => vec![DrainAction::CutOpenWork, DrainAction::Exit],
             DrainEvent::Announced(phase) => {
-                self.confirm(phase, now);
+                self.confirm_announcement(phase, now);
                 Vec::new()
             }
             DrainEvent::Counted(open) => {
@@ -50,11 +50,11 @@
         }
     }
 
-    /// Returns what an operator sees.
+    /// Returns the report for operators.
     pub(crate) fn report(&self) -> DrainReport {
         DrainReport {
             stage: self.stage,
-            announced: self.announced_at.is_some(),
+            announced: self.committed_at.is_some(),
             open: self.open,
         }
     }
@@ -68,23 +68,23 @@
         if goal == DrainGoal::Exit {
             self.goal = goal;
         }
-        let asked = deadline.map(|span| now.after(span));
+        let requested_cut_at = deadline.map(|span| now.after(span));
         match &mut self.stage {
             DrainStage::Serving => {
                 self.stage = DrainStage::Leaving {
                     since: now,
-                    cut_at: asked,
+                    cut_at: requested_cut_at,
                 };
-                self.announced_at = None;
+                self.committed_at = None;
                 vec![
                     DrainAction::SetPhase(TargetPhase::Leaving),
                     DrainAction::Announce(TargetPhase::Leaving),
                     DrainAction::SendGoAway,
                 ]
             }
-            // A second drain may set another deadline, but not remove one.
+            // A second drain may change the deadline, but not remove it.
             DrainStage::Leaving { cut_at, .. } => {
-                *cut_at = asked.or(*cut_at);
+                *cut_at = requested_cut_at.or(*cut_at);
                 Vec::new()
             }
             DrainStage::Drained { .. } => self.finish(),
@@ -92,11 +92,11 @@
     }
 
     fn cancel(&mut self) -> Vec<DrainAction> {
-        let exits = self.goal == DrainGoal::Exit;
+        let exits_when_drained = self.goal == DrainGoal::Exit;
         match self.stage {
             DrainStage::Serving => Vec::new(),
-            // The process is already told to stop.
-            DrainStage::Drained { .. } if exits => Vec::new(),
+            // The process is already exiting.
+            DrainStage::Drained { .. } if exits_when_drained => Vec::new(),
             DrainStage::Leaving { .. } | DrainStage::Drained { .. } => {
                 *self = Self {
                     open: self.open,
@@ -110,10 +110,10 @@
         }
     }
 
-    fn confirm(&mut self, phase: TargetPhase, now: ClockMillis) {
+    fn confirm_announcement(&mut self, phase: TargetPhase, now: ClockMillis) {
         let leaving = matches!(self.stage, DrainStage::Leaving { .. });
-        if leaving && phase == TargetPhase::Leaving && self.announced_at.is_none() {
-            self.announced_at = Some(now);
+        if leaving && phase == TargetPhase::Leaving && self.committed_at.is_none() {
+            self.committed_at = Some(now);
         }
     }
 
@@ -122,7 +122,7 @@
             return Vec::new();
         };
         let cut = cut_at.is_some_and(|end| end <= now);
-        let finished = self.open.is_empty() && self.has_settled(since, now);
+        let finished = self.open.is_empty() && self.has_propagated(since, now);
         if !cut && !finished {
             return Vec::new();
         }
@@ -143,11 +143,11 @@
         }
     }
 
-    /// Tells whether balancers have had time to stop sending new connections.
-    fn has_settled(&self, since: ClockMillis, now: ClockMillis) -> bool {
-        match self.announced_at {
-            Some(at) => now.since(at) >= SETTLE_MILLIS,
-            None => now.since(since) >= CONTROL_AWAY_MILLIS,
+    /// Returns whether balancers have had time to stop sending new connections.
+    fn has_propagated(&self, since: ClockMillis, now: ClockMillis) -> bool {
+        match self.committed_at {
+            Some(at) => now.since(at) >= PROPAGATION_MILLIS,
+            None => now.since(since) >= CONTROL_TIMEOUT_MILLIS,
         }
     }
 }
--- a/src/agent/drain/drain_report.rs
+++ b/src/agent/drain/drain_report.rs
@@ -2,55 +2,55 @@
 
 use crate::clock::ClockMillis;
 
-/// What is open at an agent.
+/// The open work of an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct OpenWork {
     /// Requests that hold a slot.
     pub(crate) running: u32,
-    /// Requests that wait for one.
+    /// Requests that wait for a slot.
     pub(crate) waiting: u32,
     /// Streams that hold no slot.
     pub(crate) streams: u32,
-    /// Requests that run here for a peer.
+    /// Requests that run here on behalf of a peer.
     pub(crate) relayed: u32,
 }
 
 impl OpenWork {
-    /// Tells whether nothing is open.
+    /// Returns whether there is no open work.
     pub(crate) fn is_empty(self) -> bool {
         self == Self::default()
     }
 }
 
-/// How far a drain has come.
+/// The stage of a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "stage")]
 pub(crate) enum DrainStage {
-    /// No drain runs.
+    /// No drain is in progress.
     Serving,
-    /// New work is passed on; open work goes on.
+    /// New connections are passed on; open work continues.
     Leaving {
         /// When the drain began.
         since: ClockMillis,
-        /// When open work is cut, if the operator said so.
+        /// When open work is cut, if the operator set a deadline.
         cut_at: Option<ClockMillis>,
     },
-    /// Nothing is open any more.
+    /// No work is open.
     Drained {
-        /// When the last of it was finished.
+        /// When the drain finished.
         since: ClockMillis,
-        /// Whether open work was cut on the operator's word.
+        /// Whether open work was cut at the operator's deadline.
         cut: bool,
     },
 }
 
-/// What an operator sees of a drain.
+/// The report of a drain for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct DrainReport {
-    /// How far it has come.
+    /// The stage.
     pub(crate) stage: DrainStage,
     /// Whether control has committed the announcement.
     pub(crate) announced: bool,
-    /// What was open when it was last counted.
+    /// The open work when it was last counted.
     pub(crate) open: OpenWork,
 }
--- a/src/agent/drain/mod.rs
+++ b/src/agent/drain/mod.rs
@@ -1,4 +1,4 @@
-//! The planned stop of a target: it finishes what it has and takes no more.
+//! The graceful drain of a target: it finishes its open work and accepts no more.
 
 mod drain_event;
 mod drain_machine;
--- a/src/agent/drain/tests.rs
+++ b/src/agent/drain/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the planned stop.
+//! Tests of the graceful drain.
 
 use proptest::prelude::*;
 
@@ -57,7 +57,7 @@
     #![proptest_config(fixed_cases(256))]
 
     #[test]
-    fn nothing_is_cut_and_nobody_exits_with_open_work(
+    fn no_work_is_cut_and_no_agent_exits_with_open_work(
         events in prop::collection::vec((any_event(), 0u64..4_000), 1..60),
     ) {
         let mut machine = DrainMachine::new();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_stream_outlasts_any_patience() {
+fn an_open_stream_holds_the_drain_without_limit() {
     let mut machine = DrainMachine::new();
     let actions = machine.handle(begin(DrainGoal::Exit, None), at(0));
     assert!(actions.contains(&DrainAction::SetPhase(TargetPhase::Leaving)));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn an_idle_target_waits_until_balancers_know() {
+fn an_idle_target_waits_until_balancers_are_informed() {
     let mut machine = DrainMachine::new();
     machine.handle(begin(DrainGoal::Stay, None), at(0));
     machine.handle(DrainEvent::Announced(TargetPhase::Leaving), at(500));
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn control_that_is_away_does_not_hold_the_drain_up_for_ever() {
+fn unreachable_control_does_not_block_the_drain() {
     let mut machine = DrainMachine::new();
     machine.handle(begin(DrainGoal::Exit, None), at(0));
     assert!(
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn only_the_operators_deadline_cuts_and_a_second_drain_keeps_it() {
+fn only_the_operators_deadline_cuts_and_a_second_drain_keeps_the_deadline() {
     let mut machine = DrainMachine::new();
     machine.handle(begin(DrainGoal::Stay, Some(5_000)), at(0));
     machine.handle(begin(DrainGoal::Exit, None), at(1_000));
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_second_signal_stops_at_once() {
+fn stop_now_cuts_open_work_and_exits_at_once() {
     let mut machine = DrainMachine::new();
     machine.handle(begin(DrainGoal::Exit, None), at(0));
     let actions = machine.handle(DrainEvent::StopNow, at(1));
--- a/src/agent/outcome/final_answer.rs
+++ b/src/agent/outcome/final_answer.rs
@@ -3,19 +3,19 @@
 use super::{NotRunCause, ProblemDocument, RunState};
 use crate::clock::SpanMillis;
 
-/// The start of every problem type.
+/// The prefix of every problem type.
 const PROBLEM_PREFIX: &str = "urn:cyclamenrouter:problem:";
-/// Milliseconds in the second that `Retry-After` counts in.
-const SECOND_MILLIS: u64 = 1_000;
+/// Converts to the seconds of `Retry-After`.
+const MILLIS_PER_SECOND: u64 = 1_000;
 
-/// An answer that the agent gives itself; nothing follows it.
+/// An answer that the agent itself sends; it ends the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum FinalAnswer {
     /// The request did not run and never will.
     NotRun {
-        /// What stood in the way.
+        /// Why it did not run.
         cause: NotRunCause,
-        /// When to come back.
+        /// How long the caller should wait before it tries again.
         retry_after: SpanMillis,
     },
     /// The deadline passed; `state` tells whether the request may have run.
@@ -23,20 +23,20 @@
         /// Never `Running`: the run was cancelled, if there was one.
         state: RunState,
     },
-    /// Another request with the same ticket is running.
+    /// A request with the same ticket is still running.
     StillRunning {
-        /// When to ask again.
+        /// How long the caller should wait before it resends the request.
         retry_after: SpanMillis,
     },
-    /// The key is no ticket that may still run; the request did not run.
+    /// The key is not a ticket that may still run; the request did not run.
     TicketNeeded,
-    /// The ticket belongs to a request of other content; this one did not run.
+    /// The ticket was used for a different request; this one did not run.
     TicketMismatch,
-    /// The request ran, and its answer was not kept.
+    /// The request ran, but its answer was not kept.
     AnswerNotKept,
-    /// The request may have run, and its answer is lost.
+    /// The request may have run; its answer is lost.
     OutcomeUnknown,
-    /// The request can't be understood; it did not run.
+    /// The request is malformed; it did not run.
     BadRequest {
         /// What is wrong with it.
         detail: &'static str,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Returns whether the request ran, as far as it can be known.
+    /// Returns whether the request ran, as far as the agent knows.
     pub(crate) fn run_state(&self) -> RunState {
         match self {
             Self::NotRun { .. }
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns when the caller should come back, if it should.
+    /// Returns how long the caller should wait before it tries again, if it should.
     pub(crate) fn retry_after(&self) -> Option<SpanMillis> {
         match self {
             Self::NotRun { retry_after, .. } | Self::StillRunning { retry_after } => {
@@ -87,10 +87,10 @@
         }
     }
 
-    /// Returns the value of `Retry-After`: whole seconds, rounded up.
+    /// Returns the value of `Retry-After`: whole seconds, rounded up, at least 1.
     pub(crate) fn retry_after_seconds(&self) -> Option<u64> {
         self.retry_after()
-            .map(|span| span.millis().div_ceil(SECOND_MILLIS).max(1))
+            .map(|span| span.millis().div_ceil(MILLIS_PER_SECOND).max(1))
     }
 
     /// Returns the body, of type `application/problem+json`.
--- a/src/agent/outcome/mod.rs
+++ b/src/agent/outcome/mod.rs
@@ -1,4 +1,4 @@
-//! The final answers that an agent gives in place of the upstream's.
+//! Final answers that the agent sends in place of an upstream's answer.
 
 mod final_answer;
 mod not_run_cause;
--- a/src/agent/outcome/not_run_cause.rs
+++ b/src/agent/outcome/not_run_cause.rs
@@ -6,28 +6,28 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum NotRunCause {
-    /// As many requests wait as are allowed.
+    /// The queue for slots is full.
     QueueFull,
-    /// It could not have finished before its deadline.
+    /// It was not expected to finish before its deadline.
     DeadlineTooNear,
-    /// A more urgent request took its place in a full queue.
+    /// A more urgent request displaced it from the full queue.
     Displaced,
-    /// As many streams are open as are allowed.
+    /// The limit of open streams is reached.
     StreamLimit,
     /// The target is leaving.
     Leaving,
-    /// The upstream took no connection.
+    /// The upstream accepted no connection.
     UpstreamUnreachable,
-    /// The ledger of tickets has no room for another run.
+    /// The ticket ledger is full.
     LedgerFull,
-    /// Too many recent requests were retries.
+    /// The retry budget is spent.
     RetryBudgetSpent,
-    /// The slot that a peer granted was taken back.
+    /// The slot granted by a peer is no longer held.
     GrantLost,
 }
 
 impl NotRunCause {
-    /// Returns a short explanation for a person.
+    /// Returns the `detail` of the problem document.
     pub(super) const fn detail(self) -> &'static str {
         match self {
             Self::QueueFull => "the queue of the target is full",
--- a/src/agent/request/mod.rs
+++ b/src/agent/request/mod.rs
@@ -1,4 +1,4 @@
-//! One request from its arrival to its end.
+//! The state machine of one request, from arrival to completion.
 
 mod request_action;
 mod request_event;
--- a/src/agent/request/request_action.rs
+++ b/src/agent/request/request_action.rs
@@ -1,44 +1,44 @@
 use super::RunPlace;
 use crate::agent::{outcome::FinalAnswer, slot::SlotKey};
 
-/// How a ticket's run ended, before the kept answer is put to it.
+/// How the run under a ticket ended, without the answer itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SettledRun {
-    /// It ran and its answer came whole.
+    /// It ran and its answer is complete.
     Finished,
     /// It may have run.
     Unknown,
-    /// It did not run and never will, and its callers are told so.
+    /// It did not run and never will; its callers receive that answer.
     NotRun,
-    /// It did not run, and nobody is told so.
+    /// It did not run, and no caller is left to receive an answer.
     Withdrawn,
 }
 
-/// What the shell is to do for a request.
+/// An action that the I/O layer carries out for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum RequestAction {
-    /// Take the request, and its claims at peers, out of the queues.
+    /// Remove the request from the queue and release its claims at peers.
     LeaveQueues,
-    /// Give the own slot back.
+    /// Release the local slot.
     ReleaseSlot(SlotKey),
-    /// Open a connection to the place.
+    /// Open a connection to run the request there.
     Open(RunPlace),
-    /// Wait for a slot again.
+    /// Queue the request for a slot again.
     QueueAgain,
-    /// Make another attempt at a peer, or here if there is none.
+    /// Make another attempt at a peer, or locally if there is none.
     OpenElsewhere,
-    /// Write the request: from now on it may run.
+    /// Send the request: from here on it may run.
     Send(RunPlace),
-    /// Pass the head of the answer on, and the body as it comes.
+    /// Forward the head of the answer, then the body as it arrives.
     PassAnswer,
-    /// End the answer: all of it came.
+    /// End the answer: it is complete.
     EndAnswer,
-    /// Break the answer off, so that the caller sees that it is not whole.
+    /// Reset the answer, so that the caller sees that it is incomplete.
     ResetAnswer,
-    /// Drop the connection to the place, so that it sees the cancellation.
+    /// Close the attempt's connection, which cancels the request at the other end.
     DropAttempt,
     /// Record how the run under the request's ticket ended.
     SettleTicket(SettledRun),
-    /// Give the final answer at once.
+    /// Send this final answer.
     Answer(FinalAnswer),
 }
--- a/src/agent/request/request_event.rs
+++ b/src/agent/request/request_event.rs
@@ -6,42 +6,42 @@
     key::TargetKey,
 };
 
-/// How a caller went away.
+/// How a caller left.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallerDeparture {
     /// It cancelled the request.
     Cancelled,
-    /// Its connection broke.
+    /// Its connection was lost.
     Lost,
-    /// It went, and others wait for the run under the same ticket.
+    /// It left, but other callers wait for the run under the same ticket.
     OthersWait,
 }
 
-/// What happens to a request.
+/// An event of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RequestEvent {
-    /// It holds one of the own slots.
+    /// It got a local slot.
     SlotGranted(SlotKey),
     /// A peer granted one of its slots.
     PeerGranted(TargetKey),
-    /// It gets no slot.
+    /// It was refused a slot.
     SlotRefused(SlotRefusal),
-    /// The connection to its place is open.
+    /// The connection for the attempt is open.
     Connected,
-    /// The slot that a peer granted is lost; nothing ran there.
+    /// The peer no longer holds the granted slot; the request did not run there.
     GrantLost,
-    /// The attempt failed before the head of an answer came.
+    /// The attempt failed before the head of an answer arrived.
     AttemptFailed(AttemptFailure),
-    /// The head of the answer came.
+    /// The head of the answer arrived.
     AnswerHead,
-    /// The answer came to its end.
+    /// The answer is complete.
     AnswerEnd,
-    /// The answer broke off after its head.
+    /// The answer ended early, after its head.
     AnswerBroken,
-    /// The caller went away.
+    /// The caller left.
     CallerLeft(CallerDeparture),
     /// The deadline passed.
     Deadline,
-    /// The agent is told to cut what is open.
+    /// The agent aborts its open requests.
     Cut,
 }
--- a/src/agent/request/request_machine.rs
+++ b/src/agent/request/request_machine.rs
@@ -12,21 +12,22 @@
     key::TargetKey,
 };
 
-/// When to come back after the upstream took no connection.
+/// `retry_after` when no attempt succeeded, or the agent aborts the request.
 const UNREACHABLE_RETRY_MILLIS: SpanMillis = SpanMillis::new(1_000);
 
-/// Leads one request from its arrival to its end.
+/// The state machine of one request, from arrival to completion.
 ///
-/// `Send` is the point of no return: before it the request has surely not
-/// run, after it it may have, unless the place itself says that it has not.
+/// `Send` is the point of no return: before it the request has certainly not
+/// run; after it the request may have run, unless its receiver reports that it
+/// has not.
 #[derive(Debug)]
 pub(crate) struct RequestMachine {
     profile: RequestProfile,
     stage: RequestStage,
     slot: Option<SlotKey>,
-    caller: bool,
+    has_caller: bool,
     failures: u32,
-    tainted: bool,
+    earlier_may_have_run: bool,
 }
 
 impl RequestMachine {
@@ -36,27 +37,27 @@
             profile,
             stage: RequestStage::Waiting,
             slot: None,
-            caller: true,
+            has_caller: true,
             failures: 0,
-            tainted: false,
+            earlier_may_have_run: false,
         }
     }
 
-    /// Sends the request to a place that needs no slot of this queue.
+    /// Starts the request at a place that needs no slot of the local queue.
     pub(crate) fn start_at(&mut self, place: RunPlace) -> Vec<RequestAction> {
         self.stage = RequestStage::Opening(place);
         vec![RequestAction::Open(place)]
     }
 
-    /// Returns how far the request has come.
+    /// Returns the stage.
     pub(crate) fn stage(&self) -> RequestStage {
         self.stage
     }
 
-    /// Reacts to an event at `now`.
+    /// Handles an event at `now`.
     ///
-    /// An event that comes too late for the stage changes nothing, but that a
-    /// slot which is granted too late goes back.
+    /// An event that does not fit the stage is ignored, except that a slot that
+    /// is granted too late is released.
     pub(crate) fn handle(
         &mut self,
         event: RequestEvent,
@@ -64,22 +65,22 @@
         now: ClockMillis,
     ) -> Vec<RequestAction> {
         match event {
-            RequestEvent::SlotGranted(slot) => self.take_slot(slot),
-            RequestEvent::PeerGranted(target) => self.take_peer(target),
-            RequestEvent::SlotRefused(refusal) => self.refuse(refusal),
+            RequestEvent::SlotGranted(slot) => self.start_on_slot(slot),
+            RequestEvent::PeerGranted(target) => self.start_at_peer(target),
+            RequestEvent::SlotRefused(refusal) => self.close_refused(refusal),
             RequestEvent::Connected => self.send(),
-            RequestEvent::GrantLost => self.lose_grant(),
-            RequestEvent::AttemptFailed(failure) => self.fail(failure, budget, now),
+            RequestEvent::GrantLost => self.requeue(),
+            RequestEvent::AttemptFailed(failure) => self.handle_failure(failure, budget, now),
             RequestEvent::AnswerHead => self.begin_answer(),
             RequestEvent::AnswerEnd => self.end_answer(),
-            RequestEvent::AnswerBroken => self.break_answer(),
-            RequestEvent::CallerLeft(departure) => self.lose_caller(departure),
-            RequestEvent::Deadline => self.pass_deadline(),
+            RequestEvent::AnswerBroken => self.fail_answer(),
+            RequestEvent::CallerLeft(departure) => self.handle_departure(departure),
+            RequestEvent::Deadline => self.handle_deadline(),
             RequestEvent::Cut => self.cut(),
         }
     }
 
-    fn take_slot(&mut self, slot: SlotKey) -> Vec<RequestAction> {
+    fn start_on_slot(&mut self, slot: SlotKey) -> Vec<RequestAction> {
         if self.stage != RequestStage::Waiting {
             return vec![RequestAction::ReleaseSlot(slot)];
         }
@@ -89,7 +90,7 @@
         actions
     }
 
-    fn take_peer(&mut self, target: TargetKey) -> Vec<RequestAction> {
+    fn start_at_peer(&mut self, target: TargetKey) -> Vec<RequestAction> {
         if self.stage != RequestStage::Waiting {
             return Vec::new();
         }
@@ -98,7 +99,7 @@
         actions
     }
 
-    fn refuse(&mut self, refusal: SlotRefusal) -> Vec<RequestAction> {
+    fn close_refused(&mut self, refusal: SlotRefusal) -> Vec<RequestAction> {
         if self.stage != RequestStage::Waiting {
             return Vec::new();
         }
@@ -116,9 +117,11 @@
         vec![RequestAction::Send(place)]
     }
 
-    /// Queues the request again: it has taken nothing from any upstream, so
-    /// this is no retry and takes nothing from the budget.
-    fn lose_grant(&mut self) -> Vec<RequestAction> {
+    /// Queues the request again after a lost grant.
+    ///
+    /// No upstream has received it, so this is not a retry and does not count
+    /// against the budget.
+    fn requeue(&mut self) -> Vec<RequestAction> {
         let (RequestStage::Opening(RunPlace::Peer(_)) | RequestStage::Sent(RunPlace::Peer(_))) =
             self.stage
         else {
@@ -131,7 +134,7 @@
         vec![RequestAction::QueueAgain]
     }
 
-    fn fail(
+    fn handle_failure(
         &mut self,
         failure: AttemptFailure,
         budget: &mut RetryBudget,
@@ -145,14 +148,14 @@
             }
         };
         if let RunPlace::TicketHome(_) = place {
-            // An earlier attempt may have run there.
+            // An earlier request with this ticket may have run there.
             return self.close_unknown(FinalAnswer::OutcomeUnknown);
         }
         self.failures += 1;
         let policy = self.profile.retry_policy();
         match policy.decide(failure, self.failures, budget, now) {
             RetryDecision::Retry => {
-                self.tainted |= failure == AttemptFailure::MayHaveRun;
+                self.earlier_may_have_run |= failure == AttemptFailure::MayHaveRun;
                 let mut actions = self.release_slot();
                 actions.push(RequestAction::OpenElsewhere);
                 self.stage = RequestStage::Waiting;
@@ -165,10 +168,12 @@
 
     fn give_up(&mut self, failure: AttemptFailure, cause: NotRunCause) -> Vec<RequestAction> {
         match failure {
-            AttemptFailure::NotRun if !self.tainted => self.close_not_run(FinalAnswer::NotRun {
-                cause,
-                retry_after: UNREACHABLE_RETRY_MILLIS,
-            }),
+            AttemptFailure::NotRun if !self.earlier_may_have_run => {
+                self.close_not_run(FinalAnswer::NotRun {
+                    cause,
+                    retry_after: UNREACHABLE_RETRY_MILLIS,
+                })
+            }
             AttemptFailure::NotRun | AttemptFailure::MayHaveRun => {
                 self.close_unknown(FinalAnswer::OutcomeUnknown)
             }
@@ -192,7 +197,7 @@
         actions
     }
 
-    fn break_answer(&mut self) -> Vec<RequestAction> {
+    fn fail_answer(&mut self) -> Vec<RequestAction> {
         if !matches!(self.stage, RequestStage::Answering(_)) {
             return Vec::new();
         }
@@ -201,24 +206,24 @@
         actions
     }
 
-    fn lose_caller(&mut self, departure: CallerDeparture) -> Vec<RequestAction> {
-        self.caller = false;
+    fn handle_departure(&mut self, departure: CallerDeparture) -> Vec<RequestAction> {
+        self.has_caller = false;
         if departure == CallerDeparture::OthersWait {
             return Vec::new();
         }
-        let goes_on = self.profile.ticketed && departure == CallerDeparture::Lost;
+        let continues = self.profile.ticketed && departure == CallerDeparture::Lost;
         match self.stage {
             RequestStage::Closed => Vec::new(),
             RequestStage::Waiting | RequestStage::Opening(_) if self.may_have_run() => {
                 self.abort(SettledRun::Unknown)
             }
             RequestStage::Waiting | RequestStage::Opening(_) => self.abort(SettledRun::Withdrawn),
-            RequestStage::Sent(_) | RequestStage::Answering(_) if goes_on => Vec::new(),
+            RequestStage::Sent(_) | RequestStage::Answering(_) if continues => Vec::new(),
             RequestStage::Sent(_) | RequestStage::Answering(_) => self.abort(SettledRun::Unknown),
         }
     }
 
-    fn pass_deadline(&mut self) -> Vec<RequestAction> {
+    fn handle_deadline(&mut self) -> Vec<RequestAction> {
         match self.stage {
             RequestStage::Closed => Vec::new(),
             RequestStage::Answering(_) if self.profile.answer_deadline == AnswerDeadline::Begun => {
@@ -227,7 +232,7 @@
 
             RequestStage::Answering(_) => self.abort_answer(),
             RequestStage::Waiting | RequestStage::Opening(_) | RequestStage::Sent(_) => {
-                self.end_without_answer(|state| FinalAnswer::DeadlinePassed { state })
+                self.close_before_answer(|state| FinalAnswer::DeadlinePassed { state })
             }
         }
     }
@@ -237,7 +242,7 @@
             RequestStage::Closed => Vec::new(),
             RequestStage::Answering(_) => self.abort_answer(),
             RequestStage::Waiting | RequestStage::Opening(_) | RequestStage::Sent(_) => self
-                .end_without_answer(|state| match state {
+                .close_before_answer(|state| match state {
                     RunState::NotRun => FinalAnswer::NotRun {
                         cause: NotRunCause::Leaving,
                         retry_after: UNREACHABLE_RETRY_MILLIS,
@@ -249,7 +254,7 @@
         }
     }
 
-    fn end_without_answer(
+    fn close_before_answer(
         &mut self,
         answer: impl FnOnce(RunState) -> FinalAnswer,
     ) -> Vec<RequestAction> {
@@ -260,13 +265,13 @@
         }
     }
 
-    /// Tells whether any attempt has passed the point of no return.
+    /// Returns whether the request may have run in any attempt.
     ///
-    /// A ticket's home may have run it for an earlier request.
+    /// The ticket's home may have run it for an earlier request.
     fn may_have_run(&self) -> bool {
         match self.stage {
             RequestStage::Waiting | RequestStage::Opening(RunPlace::Own | RunPlace::Peer(_)) => {
-                self.tainted
+                self.earlier_may_have_run
             }
             RequestStage::Opening(RunPlace::TicketHome(_))
             | RequestStage::Sent(_)
@@ -282,7 +287,7 @@
     }
 
     fn abort(&mut self, settled: SettledRun) -> Vec<RequestAction> {
-        let mut actions = self.leave_place();
+        let mut actions = self.cancel_attempt();
         actions.extend(self.close(settled));
         actions
     }
@@ -301,7 +306,7 @@
         actions
     }
 
-    fn leave_place(&self) -> Vec<RequestAction> {
+    fn cancel_attempt(&self) -> Vec<RequestAction> {
         match self.stage {
             RequestStage::Waiting => vec![RequestAction::LeaveQueues],
             RequestStage::Opening(_) | RequestStage::Sent(_) | RequestStage::Answering(_) => {
@@ -329,7 +334,7 @@
     }
 
     fn for_caller(&self, action: RequestAction) -> Vec<RequestAction> {
-        if self.caller {
+        if self.has_caller {
             vec![action]
         } else {
             Vec::new()
--- a/src/agent/request/request_profile.rs
+++ b/src/agent/request/request_profile.rs
@@ -9,62 +9,62 @@
     manifest::{RequestPriority, ServiceSpec},
 };
 
-/// The longest deadline that a request may bring.
-const LONGEST_DEADLINE: SpanMillis = SpanMillis::new(3_600_000);
+/// The longest deadline that a request can have.
+const MAX_DEADLINE_MILLIS: SpanMillis = SpanMillis::new(3_600_000);
 
-/// Why the deadline of a request can't be used.
+/// Why the deadline of a request is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(crate) enum ProfileError {
-    /// The header field holds no number of milliseconds.
+    /// The header field is not a number of milliseconds.
     #[error("x-deadline-millis is no number of milliseconds")]
     MalformedDeadline,
 }
 
-/// Whether a request holds a slot.
+/// Whether a request needs a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RequestKind {
-    /// It holds a slot until its answer has ended.
+    /// It holds a slot until its answer is complete.
     Slotted,
-    /// It is a stream that holds none and may last for hours.
+    /// A stream, which holds no slot and may last for hours.
     Stream,
 }
 
-/// What a deadline means for an answer that is on its way.
+/// What the deadline applies to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AnswerDeadline {
-    /// All of the answer must be there by then.
+    /// The answer must be complete by the deadline.
     Whole,
-    /// The answer must have begun by then.
+    /// The answer must have begun by the deadline.
     Begun,
 }
 
-/// How a request is to be treated, by its rule and its header fields.
+/// How to handle a request, from its traffic rule and header fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct RequestProfile {
-    /// The place in the queue.
+    /// The priority in the queue.
     pub(crate) priority: RequestPriority,
-    /// When the answer must be there.
+    /// The deadline for the answer.
     pub(crate) deadline: ClockMillis,
-    /// What that means for an answer that is on its way.
+    /// What the deadline applies to.
     pub(crate) answer_deadline: AnswerDeadline,
     /// Whether the request may run twice.
     pub(crate) idempotent: bool,
-    /// Whether it holds a slot.
+    /// Whether it needs a slot.
     pub(crate) kind: RequestKind,
     /// Whether its outcome is kept under a ticket.
     pub(crate) ticketed: bool,
-    /// Whether all of its body can be sent again.
+    /// Whether the whole body can be resent.
     pub(crate) replayable: bool,
 }
 
 impl RequestProfile {
-    /// Reads the treatment of a request that arrives at `now`.
+    /// Creates the profile of a request that arrives at `now`.
     ///
-    /// `deadline_field` is the value of `x-deadline-millis`, if it was sent.
+    /// `deadline_field` is the value of the `x-deadline-millis` header, if present.
     ///
     /// # Errors
     ///
-    /// Fails when that value is no number.
+    /// Fails when that value is not a number of milliseconds.
     pub(crate) fn new(
         spec: &ServiceSpec,
         method: &str,
@@ -82,17 +82,18 @@
         } else {
             RequestKind::Slotted
         };
-        // The service's default says nothing of how long an answer may be.
+        // The service's default deadline does not limit how long an answer may take once begun.
         let rule = spec.rule_for(method, path);
-        let is_asked = deadline_field.is_some() || rule.is_some_and(|rule| rule.deadline.is_some());
-        let answer_deadline = if is_asked && !treatment.stream {
+        let is_explicit =
+            deadline_field.is_some() || rule.is_some_and(|rule| rule.deadline.is_some());
+        let answer_deadline = if is_explicit && !treatment.stream {
             AnswerDeadline::Whole
         } else {
             AnswerDeadline::Begun
         };
         Ok(Self {
             priority: treatment.priority,
-            deadline: now.after(span.min(LONGEST_DEADLINE)),
+            deadline: now.after(span.min(MAX_DEADLINE_MILLIS)),
             answer_deadline,
             idempotent: treatment.idempotent,
             kind,
@@ -101,13 +102,13 @@
         })
     }
 
-    /// Marks the request as one whose outcome is kept under a ticket.
+    /// Marks the request as running under a ticket.
     pub(crate) fn with_ticket(mut self) -> Self {
         self.ticketed = true;
         self
     }
 
-    /// Returns what the request asks of the queue.
+    /// Returns the request for a slot.
     pub(crate) fn slot_request(&self) -> SlotRequest {
         SlotRequest {
             priority: self.priority,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Returns what the request allows after a failure.
+    /// Returns the policy for retries after a failure.
     pub(crate) fn retry_policy(&self) -> RetryPolicy {
         RetryPolicy {
             idempotent: self.idempotent,
--- a/src/agent/request/request_stage.rs
+++ b/src/agent/request/request_stage.rs
@@ -6,26 +6,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum RunPlace {
-    /// At the own upstream.
+    /// At the local upstream.
     Own,
-    /// At a peer that granted a slot or is tried after a failure.
+    /// At a peer that granted a slot, or that is tried after a failure.
     Peer(TargetKey),
-    /// At the agent that answers for the request's ticket.
+    /// At the agent responsible for the request's ticket.
     TicketHome(TargetKey),
 }
 
-/// How far a request has come.
+/// The stage of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum RequestStage {
-    /// It waits for a slot; nothing has been sent anywhere.
+    /// It waits for a slot, or for its next attempt to start.
     Waiting,
-    /// A connection to the place is being made; nothing has been sent.
+    /// The connection is being opened; this attempt has sent nothing.
     Opening(RunPlace),
-    /// The point of no return is passed: bytes may have reached the place.
+    /// Past the point of no return: the request may have arrived.
     Sent(RunPlace),
-    /// The head of the answer went to the caller.
+    /// The head of the answer has arrived.
     Answering(RunPlace),
-    /// Nothing more happens.
+    /// Complete; further events are ignored.
     Closed,
 }
--- a/src/agent/request/tests/at_most_once.rs
+++ b/src/agent/request/tests/at_most_once.rs
@@ -1,5 +1,5 @@
-//! One command under one ticket, sent again and again to agents that are
-//! killed, drained and cut off from each other.
+//! One command under one ticket, resent to agents that are killed, drained and
+//! partitioned from each other.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -11,7 +11,7 @@
         CallerDeparture, RequestAction, RequestEvent, RequestMachine, RequestStage, RunPlace,
         SettledRun,
     },
-    single_request::{Happening, any_happening, profile},
+    single_request::{TestEvent, any_test_event, profile},
 };
 use crate::{
     agent::{
@@ -33,31 +33,31 @@
 
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// The caller sends the command, for the first time or again.
+    /// The caller sends or resends the command to an agent.
     Send(usize),
-    /// Something happens to a run at an agent.
-    Happen(usize, Happening),
-    /// A caller of a run goes away.
-    Leave(usize, bool),
-    /// An agent is killed and starts again.
+    /// An event of the run at an agent.
+    RunEvent(usize, TestEvent),
+    /// A caller of the run at an agent leaves or cancels.
+    CallerLeaves(usize, bool),
+    /// An agent is killed and restarts.
     Kill(usize),
-    /// An agent leaves in order and starts again; a peer is its heir.
+    /// An agent drains, hands its tickets over to a peer and restarts.
     HandOver(usize, usize),
-    /// Two agents stop hearing each other, or hear each other again.
-    Partition(bool),
-    /// Time passes.
-    Pass(u64),
+    /// Agents can't reach each other, or can again.
+    SetPartitioned(bool),
+    /// Advances the clock.
+    AdvanceTime(u64),
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0..AGENTS).prop_map(Step::Send),
-        10 => (0..AGENTS, any_happening()).prop_map(|(at, event)| Step::Happen(at, event)),
-        2 => (0..AGENTS, any::<bool>()).prop_map(|(at, cancel)| Step::Leave(at, cancel)),
+        10 => (0..AGENTS, any_test_event()).prop_map(|(at, event)| Step::RunEvent(at, event)),
+        2 => (0..AGENTS, any::<bool>()).prop_map(|(at, cancel)| Step::CallerLeaves(at, cancel)),
         1 => (0..AGENTS).prop_map(Step::Kill),
         1 => (0..AGENTS, 0..AGENTS).prop_map(|(from, to)| Step::HandOver(from, to)),
-        1 => any::<bool>().prop_map(Step::Partition),
-        1 => (0u64..200_000).prop_map(Step::Pass),
+        1 => any::<bool>().prop_map(Step::SetPartitioned),
+        1 => (0u64..200_000).prop_map(Step::AdvanceTime),
     ]
 }
 
@@ -69,21 +69,21 @@
 struct Agent {
     incarnation: IncarnationId,
     ledger: TicketLedger,
-    heirs: HeirStore,
+    handed_over: HeirStore,
     run: Option<Run>,
 }
 
-struct World {
-    ring: KeyRing,
+struct SimulatedAgents {
+    key_ring: KeyRing,
     slots: SlotMap<SlotKey, ()>,
     budget: RetryBudget,
     agents: Vec<Agent>,
     next_incarnation: u64,
-    cut_off: bool,
+    partitioned: bool,
     now: ClockMillis,
     ticket: String,
     runs: u32,
-    told_not_run: bool,
+    answered_not_run: bool,
 }
 
 fn target(index: usize) -> TargetKey {
@@ -98,12 +98,12 @@
     Agent {
         incarnation,
         ledger: TicketLedger::new(target(index), service, incarnation, limits),
-        heirs: HeirStore::default(),
+        handed_over: HeirStore::default(),
         run: None,
     }
 }
 
-impl World {
+impl SimulatedAgents {
     fn new() -> Self {
         let secret = DeploymentSecret {
             active: 1,
@@ -112,43 +112,43 @@
                 secret: vec![5; 32],
             }],
         };
-        let ring = KeyRing::new(&secret).expect("a good secret");
+        let key_ring = KeyRing::new(&secret).expect("a valid secret");
         let mut agents: Vec<Agent> = (0..AGENTS)
             .map(|index| agent(index, index as u64))
             .collect();
-        let ticket = agents[0].ledger.mint(&ring, ClockMillis::ORIGIN);
+        let ticket = agents[0].ledger.mint(&key_ring, ClockMillis::ORIGIN);
         Self {
-            ring,
+            key_ring,
             slots: SlotMap::with_key(),
             budget: RetryBudget::new(50),
             agents,
             next_incarnation: 100,
-            cut_off: false,
+            partitioned: false,
             now: ClockMillis::ORIGIN,
             ticket,
             runs: 0,
-            told_not_run: false,
+            answered_not_run: false,
         }
     }
 
     fn step(&mut self, step: Step) {
         match step {
             Step::Send(at) => self.send(at),
-            Step::Happen(at, happening) => self.happen(at, happening),
-            Step::Leave(at, cancel) => self.leave(at, cancel),
+            Step::RunEvent(at, test_event) => self.apply_test_event(at, test_event),
+            Step::CallerLeaves(at, cancel) => self.caller_leaves(at, cancel),
             Step::Kill(at) => self.restart(at),
             Step::HandOver(from, to) => self.hand_over(from, to),
-            Step::Partition(cut_off) => self.cut_off = cut_off,
-            Step::Pass(span) => self.now = ClockMillis::new(self.now.millis() + span),
+            Step::SetPartitioned(partitioned) => self.partitioned = partitioned,
+            Step::AdvanceTime(span) => self.now = ClockMillis::new(self.now.millis() + span),
         }
     }
 
     fn restart(&mut self, at: usize) {
         self.next_incarnation += 1;
-        let heirs = std::mem::take(&mut self.agents[at].heirs);
+        let handed_over = std::mem::take(&mut self.agents[at].handed_over);
         self.agents[at] = agent(at, self.next_incarnation);
-        // A killed agent loses what it held; keeping it is the harder case.
-        self.agents[at].heirs = heirs;
+        // A killed agent loses the ledgers handed over to it; keeping them is the harder case.
+        self.agents[at].handed_over = handed_over;
     }
 
     fn hand_over(&mut self, from: usize, to: usize) {
@@ -156,65 +156,68 @@
             return;
         }
         let handover = self.agents[from].ledger.hand_over(self.now);
-        self.agents[to].heirs.take_over(handover, self.now);
+        self.agents[to].handed_over.take_over(handover, self.now);
         self.restart(from);
     }
 
     fn send(&mut self, at: usize) {
-        let print = RequestFingerprint::new("POST", "/feed", Some(1));
+        let fingerprint = RequestFingerprint::new("POST", "/feed", Some(1));
         let agent = &mut self.agents[at];
         match agent
             .ledger
-            .present(&self.ticket, &self.ring, print, self.now)
+            .present(&self.ticket, &self.key_ring, fingerprint, self.now)
         {
-            TicketVerdict::Relay(ticket) => self.relay(at, ticket, print),
-            verdict => self.follow(at, verdict),
+            TicketVerdict::Relay(ticket) => self.relay(at, ticket, fingerprint),
+            verdict => self.apply_verdict(at, verdict),
         }
     }
 
-    fn relay(&mut self, at: usize, ticket: SealedTicket, print: RequestFingerprint) {
-        if let Some(verdict) = self.agents[at].heirs.present(ticket, print, self.now) {
-            return self.follow(at, verdict);
+    fn relay(&mut self, at: usize, ticket: SealedTicket, fingerprint: RequestFingerprint) {
+        if let Some(verdict) = self.agents[at]
+            .handed_over
+            .present(ticket, fingerprint, self.now)
+        {
+            return self.apply_verdict(at, verdict);
         }
         let home = (0..AGENTS).find(|index| {
             target(*index) == ticket.home && self.agents[*index].incarnation == ticket.incarnation
         });
         match home {
-            Some(home) if !self.cut_off => self.send(home),
-            _ => self.tell(&FinalAnswer::OutcomeUnknown),
+            Some(home) if !self.partitioned => self.send(home),
+            _ => self.record_answer(&FinalAnswer::OutcomeUnknown),
         }
     }
 
-    fn follow(&mut self, at: usize, verdict: TicketVerdict) {
+    fn apply_verdict(&mut self, at: usize, verdict: TicketVerdict) {
         match verdict {
             TicketVerdict::Run(key) => {
                 let machine = RequestMachine::new(profile(false, true));
                 let earlier = self.agents[at].run.replace(Run { key, machine });
                 assert!(
                     earlier.is_none(),
-                    "a run began while another was on its way"
+                    "a run began while another was in progress"
                 );
             }
             TicketVerdict::Await(_) => assert!(self.agents[at].run.is_some()),
             TicketVerdict::Replay(_) => assert_eq!(self.runs, 1, "an answer without a run"),
-            TicketVerdict::Relay(_) => panic!("a home never relays its own ticket"),
-            TicketVerdict::Answer(answer) => self.tell(&answer),
+            TicketVerdict::Relay(_) => panic!("a ticket's home never relays it"),
+            TicketVerdict::Answer(answer) => self.record_answer(&answer),
         }
     }
 
-    fn happen(&mut self, at: usize, happening: Happening) {
-        // How callers leave is a step of its own.
-        if matches!(happening, Happening::Event(RequestEvent::CallerLeft(_))) {
+    fn apply_test_event(&mut self, at: usize, test_event: TestEvent) {
+        // Departures are covered by `Step::CallerLeaves`.
+        if matches!(test_event, TestEvent::Event(RequestEvent::CallerLeft(_))) {
             return;
         }
-        let event = match happening {
-            Happening::Slot => RequestEvent::SlotGranted(self.slots.insert(())),
-            Happening::Event(event) => event,
+        let event = match test_event {
+            TestEvent::GrantSlot => RequestEvent::SlotGranted(self.slots.insert(())),
+            TestEvent::Event(event) => event,
         };
         self.handle(at, event);
     }
 
-    fn leave(&mut self, at: usize, cancel: bool) {
+    fn caller_leaves(&mut self, at: usize, cancel: bool) {
         let Some(run) = &self.agents[at].run else {
             return;
         };
@@ -231,7 +234,7 @@
         let Some(run) = &mut self.agents[at].run else {
             return;
         };
-        // A place that surely did not run it says so before it runs.
+        // These events report that the request that was sent did not run.
         let refused = match (event, run.machine.stage()) {
             (RequestEvent::AttemptFailed(failure), RequestStage::Sent(_)) => {
                 failure == AttemptFailure::NotRun
@@ -252,9 +255,12 @@
                 RequestAction::Send(_) => {
                     self.runs += 1;
                     assert!(self.runs <= 1, "the command ran twice");
-                    assert!(!self.told_not_run, "it ran after it was told not to run");
+                    assert!(
+                        !self.answered_not_run,
+                        "it ran after an answer said that it had not"
+                    );
                 }
-                RequestAction::Answer(answer) => self.tell(&answer),
+                RequestAction::Answer(answer) => self.record_answer(&answer),
                 RequestAction::SettleTicket(settled) => self.settle(at, settled),
                 RequestAction::OpenElsewhere => {
                     if let Some(run) = &mut self.agents[at].run {
@@ -282,21 +288,21 @@
         };
         let ledger = &mut self.agents[at].ledger;
         ledger.settle(run.key, outcome, self.now);
-        let told = ledger.outcome(run.key);
+        let outcome_verdict = ledger.outcome(run.key);
         if let (Some(TicketVerdict::Answer(answer)), true) =
-            (told, settled != SettledRun::Withdrawn)
+            (outcome_verdict, settled != SettledRun::Withdrawn)
         {
-            self.tell(&answer);
+            self.record_answer(&answer);
         }
     }
 
-    fn tell(&mut self, answer: &FinalAnswer) {
+    fn record_answer(&mut self, answer: &FinalAnswer) {
         if answer.run_state() == RunState::NotRun {
             assert_eq!(
                 self.runs, 0,
-                "told not run after it may have run: {answer:?}"
+                "answered not run after it may have run: {answer:?}"
             );
-            self.told_not_run = true;
+            self.answered_not_run = true;
         }
     }
 }
@@ -305,12 +311,12 @@
     #![proptest_config(fixed_cases(1_000))]
 
     #[test]
-    fn a_command_runs_at_most_once_and_not_run_is_true(
+    fn a_command_runs_at_most_once_and_not_run_answers_are_true(
         steps in prop::collection::vec(any_step(), 1..60),
     ) {
-        let mut world = World::new();
+        let mut simulation = SimulatedAgents::new();
         for step in steps {
-            world.step(step);
+            simulation.step(step);
         }
     }
 }
--- a/src/agent/request/tests/mod.rs
+++ b/src/agent/request/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of one request from its arrival to its end.
+//! Tests of the request state machine.
 
 mod at_most_once;
 mod profiles;
--- a/src/agent/request/tests/profiles.rs
+++ b/src/agent/request/tests/profiles.rs
@@ -1,4 +1,4 @@
-//! Tests of reading the treatment of a request.
+//! Tests of request profiles.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -35,7 +35,7 @@
 #[case("PUT", "/stop/3", None, 10_000, true)]
 #[case("PATCH", "/x", Some("250"), 250, false)]
 #[case("GET", "/x", Some(" 99999999999 "), 3_600_000, true)]
-fn rules_and_headers_decide(
+fn traffic_rules_and_headers_decide(
     #[case] method: &str,
     #[case] path: &str,
     #[case] field: Option<&str>,
@@ -43,7 +43,7 @@
     #[case] idempotent: bool,
 ) {
     let profile = RequestProfile::new(&spec(), method, path, field, ClockMillis::ORIGIN);
-    let profile = profile.expect("a good request");
+    let profile = profile.expect("a valid request");
     assert_eq!(profile.deadline, ClockMillis::new(deadline));
     assert_eq!(profile.idempotent, idempotent);
 }
@@ -52,7 +52,7 @@
 #[case("")]
 #[case("-1")]
 #[case("1s")]
-fn a_malformed_deadline_is_refused(#[case] field: &str) {
+fn a_malformed_deadline_is_rejected(#[case] field: &str) {
     let profile = RequestProfile::new(&spec(), "GET", "/", Some(field), ClockMillis::ORIGIN);
     assert_eq!(profile, Err(ProfileError::MalformedDeadline));
 }
--- a/src/agent/request/tests/single_request.rs
+++ b/src/agent/request/tests/single_request.rs
@@ -1,4 +1,4 @@
-//! Properties of one request whatever happens to it.
+//! Invariants of one request under any sequence of events.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -37,62 +37,62 @@
     }
 }
 
-/// An event of a request; a granted slot gets its key when it happens.
+/// A generated event; the key of a granted slot is created when it is applied.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum Happening {
-    Slot,
+pub(super) enum TestEvent {
+    GrantSlot,
     Event(RequestEvent),
 }
 
-pub(super) fn any_happening() -> impl Strategy<Value = Happening> {
+pub(super) fn any_test_event() -> impl Strategy<Value = TestEvent> {
     let refusal = SlotRefusal {
         cause: RefusalCause::QueueFull,
         retry_after: SpanMillis::new(100),
     };
     prop_oneof![
-        3 => Just(Happening::Slot),
-        1 => Just(Happening::Event(RequestEvent::PeerGranted(peer()))),
-        1 => Just(Happening::Event(RequestEvent::SlotRefused(refusal))),
-        4 => Just(Happening::Event(RequestEvent::Connected)),
-        2 => Just(Happening::Event(RequestEvent::AttemptFailed(AttemptFailure::NotRun))),
-        1 => Just(Happening::Event(RequestEvent::AttemptFailed(AttemptFailure::MayHaveRun))),
-        1 => Just(Happening::Event(RequestEvent::GrantLost)),
-        2 => Just(Happening::Event(RequestEvent::AnswerHead)),
-        2 => Just(Happening::Event(RequestEvent::AnswerEnd)),
-        1 => Just(Happening::Event(RequestEvent::AnswerBroken)),
-        1 => Just(Happening::Event(RequestEvent::CallerLeft(CallerDeparture::Cancelled))),
-        1 => Just(Happening::Event(RequestEvent::CallerLeft(CallerDeparture::Lost))),
-        1 => Just(Happening::Event(RequestEvent::Deadline)),
-        1 => Just(Happening::Event(RequestEvent::Cut)),
+        3 => Just(TestEvent::GrantSlot),
+        1 => Just(TestEvent::Event(RequestEvent::PeerGranted(peer()))),
+        1 => Just(TestEvent::Event(RequestEvent::SlotRefused(refusal))),
+        4 => Just(TestEvent::Event(RequestEvent::Connected)),
+        2 => Just(TestEvent::Event(RequestEvent::AttemptFailed(AttemptFailure::NotRun))),
+        1 => Just(TestEvent::Event(RequestEvent::AttemptFailed(AttemptFailure::MayHaveRun))),
+        1 => Just(TestEvent::Event(RequestEvent::GrantLost)),
+        2 => Just(TestEvent::Event(RequestEvent::AnswerHead)),
+        2 => Just(TestEvent::Event(RequestEvent::AnswerEnd)),
+        1 => Just(TestEvent::Event(RequestEvent::AnswerBroken)),
+        1 => Just(TestEvent::Event(RequestEvent::CallerLeft(CallerDeparture::Cancelled))),
+        1 => Just(TestEvent::Event(RequestEvent::CallerLeft(CallerDeparture::Lost))),
+        1 => Just(TestEvent::Event(RequestEvent::Deadline)),
+        1 => Just(TestEvent::Event(RequestEvent::Cut)),
     ]
 }
 
-/// What was seen of one request.
+/// What was observed of one request.
 #[derive(Debug, Default)]
-struct Record {
+struct RequestRecord {
     sends: u32,
-    known_not_run: u32,
-    held: Vec<SlotKey>,
+    sends_not_run: u32,
+    held_slots: Vec<SlotKey>,
     ends: u32,
     settled: Vec<SettledRun>,
 }
 
-impl Record {
+impl RequestRecord {
     fn apply(&mut self, actions: &[RequestAction]) {
         for action in actions {
             match action {
                 RequestAction::Send(_) => self.sends += 1,
                 RequestAction::ReleaseSlot(slot) => {
-                    let at = self.held.iter().position(|held| held == slot);
-                    self.held
-                        .remove(at.expect("only a held slot is given back"));
+                    let at = self.held_slots.iter().position(|held| held == slot);
+                    self.held_slots
+                        .remove(at.expect("only a held slot is released"));
                 }
                 RequestAction::EndAnswer | RequestAction::ResetAnswer => self.ends += 1,
                 RequestAction::Answer(answer) => {
                     self.ends += 1;
-                    let may_have_run = self.sends > self.known_not_run;
+                    let may_have_run = self.sends > self.sends_not_run;
                     let not_run = answer.run_state() == RunState::NotRun;
-                    assert_eq!(not_run, !may_have_run, "the answer is honest");
+                    assert_eq!(not_run, !may_have_run, "the answer is truthful");
                 }
                 RequestAction::SettleTicket(settled) => self.settled.push(*settled),
                 _ => {}
@@ -105,51 +105,51 @@
     #![proptest_config(fixed_cases(1_000))]
 
     #[test]
-    fn answers_are_single_and_honest_and_slots_come_back(
+    fn each_request_gets_one_truthful_answer_and_releases_its_slot(
         idempotent: bool,
         ticketed: bool,
-        happenings in prop::collection::vec(any_happening(), 1..24),
+        test_events in prop::collection::vec(any_test_event(), 1..24),
     ) {
         let mut slots: SlotMap<SlotKey, ()> = SlotMap::with_key();
         let mut budget = RetryBudget::new(50);
         let mut machine = RequestMachine::new(profile(idempotent, ticketed));
-        let mut record = Record::default();
-        for happening in happenings {
+        let mut record = RequestRecord::default();
+        for test_event in test_events {
             let before = machine.stage();
-            let event = match happening {
-                Happening::Slot => {
+            let event = match test_event {
+                TestEvent::GrantSlot => {
                     let slot = slots.insert(());
-                    record.held.push(slot);
+                    record.held_slots.push(slot);
                     RequestEvent::SlotGranted(slot)
                 }
-                Happening::Event(event) => event,
+                TestEvent::Event(event) => event,
             };
             let sent = matches!(before, RequestStage::Sent(_));
             let at_peer = matches!(before, RequestStage::Sent(RunPlace::Peer(_)));
             let grant_lost = at_peer && event == RequestEvent::GrantLost;
             if grant_lost || (sent && event == RequestEvent::AttemptFailed(AttemptFailure::NotRun)) {
-                record.known_not_run += 1;
+                record.sends_not_run += 1;
             }
             let mut actions = machine.handle(event, &mut budget, ClockMillis::ORIGIN);
             if actions.contains(&RequestAction::OpenElsewhere) {
                 actions.extend(machine.start_at(RunPlace::Peer(peer())));
             }
             record.apply(&actions);
-            prop_assert!(idempotent || record.sends <= record.known_not_run + 1);
+            prop_assert!(idempotent || record.sends <= record.sends_not_run + 1);
             prop_assert!(record.ends <= 1);
             if machine.stage() == RequestStage::Closed {
-                prop_assert!(record.held.is_empty(), "a closed request holds no slot");
+                prop_assert!(record.held_slots.is_empty(), "a closed request holds no slot");
                 prop_assert_eq!(record.settled.len(), usize::from(ticketed));
             }
         }
         if let [SettledRun::NotRun | SettledRun::Withdrawn] = record.settled.as_slice() {
-            prop_assert_eq!(record.sends, record.known_not_run);
+            prop_assert_eq!(record.sends, record.sends_not_run);
         }
     }
 }
 
 #[test]
-fn a_cut_body_resets_the_answer() {
+fn a_broken_answer_body_resets_the_answer() {
     let mut budget = RetryBudget::new(10);
     let mut machine = RequestMachine::new(profile(true, false));
     machine.start_at(RunPlace::Own);
@@ -161,8 +161,8 @@
 }
 
 #[test]
-fn a_lost_caller_leaves_a_ticketed_run_alone_and_a_cancel_ends_it() {
-    for (departure, drops) in [
+fn a_lost_caller_does_not_stop_a_ticketed_run_but_a_cancellation_does() {
+    for (departure, drops_attempt) in [
         (CallerDeparture::Lost, false),
         (CallerDeparture::OthersWait, false),
         (CallerDeparture::Cancelled, true),
@@ -173,13 +173,13 @@
         machine.handle(RequestEvent::Connected, &mut budget, ClockMillis::ORIGIN);
         let event = RequestEvent::CallerLeft(departure);
         let actions = machine.handle(event, &mut budget, ClockMillis::ORIGIN);
-        assert_eq!(actions.contains(&RequestAction::DropAttempt), drops);
+        assert_eq!(actions.contains(&RequestAction::DropAttempt), drops_attempt);
     }
 }
 
 #[test]
-fn only_a_deadline_that_was_asked_for_cuts_an_answer_on_its_way() {
-    for (answer_deadline, cuts) in [
+fn only_an_explicit_deadline_resets_an_answer_in_progress() {
+    for (answer_deadline, resets_answer) in [
         (AnswerDeadline::Whole, true),
         (AnswerDeadline::Begun, false),
     ] {
@@ -193,6 +193,6 @@
             machine.handle(event, &mut budget, ClockMillis::ORIGIN);
         }
         let actions = machine.handle(RequestEvent::Deadline, &mut budget, ClockMillis::ORIGIN);
-        assert_eq!(actions.contains(&RequestAction::ResetAnswer), cuts);
+        assert_eq!(actions.contains(&RequestAction::ResetAnswer), resets_answer);
     }
 }
--- a/src/agent/ticket/tests.rs
+++ b/src/agent/ticket/tests.rs
@@ -32,7 +32,7 @@
             secret: vec![byte; 32],
         }],
     };
-    KeyRing::new(&secret).expect("a good secret")
+    KeyRing::new(&secret).expect("a valid secret")
 }
 
 fn target(port: u16) -> TargetKey {
