--- a/src/agent/admission/accept_rule.rs
+++ b/src/agent/admission/accept_rule.rs
@@ -14,9 +14,10 @@
         /// The lowest load, in thousandths of the slots, at which to pass on.
         load_permille: u32,
     },
-    /// Passes on when the next candidate is less loaded by a margin.
+    /// Passes on when the next candidate is clearly less loaded.
     LeastLoadedOfTwo {
-        /// The load difference, in thousandths of the slots, that decides.
+        /// The difference in requests, in thousandths of the slots, from which on
+        /// requests are compared rather than connections.
         margin_permille: u32,
         /// Load reports older than this are ignored.
         stale_after: SpanMillis,
--- a/src/agent/claim/claim_frame.rs
+++ b/src/agent/claim/claim_frame.rs
@@ -71,6 +71,7 @@
         /// The priority of the request.
         priority: RequestPriority,
         /// The time left until the request's deadline.
+        #[serde(rename = "left")]
         time_left: SpanMillis,
     },
     /// A slot is reserved for the claim until a timeout.
--- a/src/agent/claim/incoming_claims.rs
+++ b/src/agent/claim/incoming_claims.rs
@@ -133,7 +133,7 @@
         let mut expired: Vec<ClaimKey> = self
             .claims
             .iter()
-            .filter(|(_, state)| state.expires_at() <= now)
+            .filter(|(_, claim)| claim.expires_at() <= now)
             .map(|(key, _)| *key)
             .collect();
         expired.sort_unstable();
--- a/src/agent/claim/peer_sample.rs
+++ b/src/agent/claim/peer_sample.rs
@@ -10,7 +10,7 @@
 /// Load reports older than this are ignored.
 const STALE_MILLIS: SpanMillis = SpanMillis::new(2_000);
 /// The assumed load of a peer without a recent report.
-const DEFAULT_PERMILLE: u32 = 1_000;
+const DEFAULT_LOAD_PERMILLE: u32 = 1_000;
 
 /// A peer of the same service and its last load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 fn assumed_permille(peer: &PeerView, now: ClockMillis) -> u32 {
     match peer.seen {
         Some(seen) if now.since(seen) <= STALE_MILLIS => peer.work_permille,
-        Some(_) | None => DEFAULT_PERMILLE,
+        Some(_) | None => DEFAULT_LOAD_PERMILLE,
     }
 }
 
@@ -54,8 +54,8 @@
     let sample_size = SAMPLE_SIZE.min(count);
     while indices.len() < sample_size {
         state = splitmix64(state);
-        let below = u64::try_from(count).unwrap_or(u64::MAX);
-        let index = usize::try_from(state % below).unwrap_or(0);
+        let bound = u64::try_from(count).unwrap_or(u64::MAX);
+        let index = usize::try_from(state % bound).unwrap_or(0);
         if !indices.contains(&index) {
             indices.push(index);
         }
--- a/src/agent/claim/slot_broker.rs
+++ b/src/agent/claim/slot_broker.rs
@@ -42,11 +42,11 @@
 
 impl SlotBroker {
     /// Creates a broker with all slots free.
-    pub(crate) fn new(own: AgentIdentity, limits: SlotLimits) -> Self {
+    pub(crate) fn new(identity: AgentIdentity, limits: SlotLimits) -> Self {
         Self {
             queue: SlotQueue::new(limits),
-            incoming: IncomingClaims::new(own),
-            outgoing: OutgoingClaims::new(own),
+            incoming: IncomingClaims::new(identity),
+            outgoing: OutgoingClaims::new(identity),
         }
     }
 
--- a/src/agent/request/request_action.rs
+++ b/src/agent/request/request_action.rs
@@ -10,7 +10,7 @@
     Unknown,
     /// It did not run and never will; its callers receive that answer.
     NotRun,
-    /// It did not run, and no caller is left to receive an answer.
+    /// It did not run, and its caller left without an answer.
     Withdrawn,
 }
 
--- a/src/agent/request/request_machine.rs
+++ b/src/agent/request/request_machine.rs
@@ -12,8 +12,9 @@
     key::TargetKey,
 };
 
-/// `retry_after` when no attempt succeeded, or the agent aborts the request.
-const UNREACHABLE_RETRY_MILLIS: SpanMillis = SpanMillis::new(1_000);
+/// `retry_after` of a request that did not run because its attempts failed or
+/// the agent aborted it.
+const NOT_RUN_RETRY_MILLIS: SpanMillis = SpanMillis::new(1_000);
 
 /// The state machine of one request, from arrival to completion.
 ///
@@ -171,7 +172,7 @@
             AttemptFailure::NotRun if !self.earlier_may_have_run => {
                 self.close_not_run(FinalAnswer::NotRun {
                     cause,
-                    retry_after: UNREACHABLE_RETRY_MILLIS,
+                    retry_after: NOT_RUN_RETRY_MILLIS,
                 })
             }
             AttemptFailure::NotRun | AttemptFailure::MayHaveRun => {
@@ -245,7 +246,7 @@
                 .close_before_answer(|state| match state {
                     RunState::NotRun => FinalAnswer::NotRun {
                         cause: NotRunCause::Leaving,
-                        retry_after: UNREACHABLE_RETRY_MILLIS,
+                        retry_after: NOT_RUN_RETRY_MILLIS,
                     },
                     RunState::Running | RunState::Ran | RunState::Unknown => {
                         FinalAnswer::OutcomeUnknown
@@ -333,6 +334,7 @@
             .collect()
     }
 
+    /// Returns the action if the caller is still there.
     fn for_caller(&self, action: RequestAction) -> Vec<RequestAction> {
         if self.has_caller {
             vec![action]
--- a/src/agent/request/tests/single_request.rs
+++ b/src/agent/request/tests/single_request.rs
@@ -73,7 +73,7 @@
     sends: u32,
     sends_not_run: u32,
     held_slots: Vec<SlotKey>,
-    ends: u32,
+    answer_ends: u32,
     settled: Vec<SettledRun>,
 }
 
@@ -87,9 +87,9 @@
                     self.held_slots
                         .remove(at.expect("only a held slot is released"));
                 }
-                RequestAction::EndAnswer | RequestAction::ResetAnswer => self.ends += 1,
+                RequestAction::EndAnswer | RequestAction::ResetAnswer => self.answer_ends += 1,
                 RequestAction::Answer(answer) => {
-                    self.ends += 1;
+                    self.answer_ends += 1;
                     let may_have_run = self.sends > self.sends_not_run;
                     let not_run = answer.run_state() == RunState::NotRun;
                     assert_eq!(not_run, !may_have_run, "the answer is truthful");
@@ -105,7 +105,7 @@
     #![proptest_config(fixed_cases(1_000))]
 
     #[test]
-    fn each_request_gets_one_truthful_answer_and_releases_its_slot(
+    fn each_request_gets_at_most_one_truthful_answer_and_releases_its_slot(
         idempotent: bool,
         ticketed: bool,
         test_events in prop::collection::vec(any_test_event(), 1..24),
@@ -136,7 +136,7 @@
             }
             record.apply(&actions);
             prop_assert!(idempotent || record.sends <= record.sends_not_run + 1);
-            prop_assert!(record.ends <= 1);
+            prop_assert!(record.answer_ends <= 1);
             if machine.stage() == RequestStage::Closed {
                 prop_assert!(record.held_slots.is_empty(), "a closed request holds no slot");
                 prop_assert_eq!(record.settled.len(), usize::from(ticketed));
--- a/src/agent/slot/slot_queue.rs
+++ b/src/agent/slot/slot_queue.rs
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Returns the estimated time until a request of this priority can start.
+    /// Returns the estimated time until a request of this priority can start, at
+    /// least `MIN_RETRY_MILLIS`.
     pub(crate) fn retry_after(&self, priority: RequestPriority, now: ClockMillis) -> SpanMillis {
         self.estimated_wait(priority, now).max(MIN_RETRY_MILLIS)
     }
@@ -153,6 +154,7 @@
         same_priority < usize::from(self.limits.slots_for(priority))
     }
 
+    /// Returns whether a request of this or a more urgent priority waits.
     fn has_waiting_at_least(&self, priority: RequestPriority) -> bool {
         PRIORITIES
             .into_iter()
@@ -174,7 +176,8 @@
         })
     }
 
-    /// Estimates the time until all work of this or a more urgent priority is done.
+    /// Estimates the time until the slots have finished the running requests and
+    /// the waiting ones of this or a more urgent priority.
     ///
     /// Waiting peer claims are not counted: most of those requests run
     /// elsewhere, as do some of this agent's requests in return.
--- a/src/agent/ticket/heir_store.rs
+++ b/src/agent/ticket/heir_store.rs
@@ -107,7 +107,7 @@
 impl StoredLedger {
     fn answer(&self, ticket: SealedTicket, fingerprint: RequestFingerprint) -> TicketVerdict {
         let Some(stored) = self.tickets.get(&ticket.serial) else {
-            return TicketVerdict::Answer(self.answer_unused(ticket));
+            return TicketVerdict::Answer(self.answer_unlisted(ticket));
         };
         if stored.fingerprint != fingerprint {
             return TicketVerdict::Answer(FinalAnswer::TicketMismatch);
@@ -123,7 +123,7 @@
     /// Returns the answer for a ticket that the ledger does not list.
     ///
     /// A ticket that had expired by then may have run and been removed before.
-    fn answer_unused(&self, ticket: SealedTicket) -> FinalAnswer {
+    fn answer_unlisted(&self, ticket: SealedTicket) -> FinalAnswer {
         if ticket.expires <= self.handed_over_at {
             FinalAnswer::OutcomeUnknown
         } else {
--- a/src/agent/ticket/ticket_ledger.rs
+++ b/src/agent/ticket/ticket_ledger.rs
@@ -145,7 +145,7 @@
         }
         match self.runs_by_serial.get(&ticket.serial) {
             Some(run) => self.present_known(*run, fingerprint),
-            None => self.present_unused(ticket, fingerprint, now),
+            None => self.present_unknown(ticket, fingerprint, now),
         }
     }
 
@@ -232,7 +232,7 @@
         settled_verdict(&entry.state).unwrap_or(TicketVerdict::Await(run))
     }
 
-    fn present_unused(
+    fn present_unknown(
         &mut self,
         ticket: SealedTicket,
         fingerprint: RequestFingerprint,
