--- a/src/agent/outcome/final_answer.rs
+++ b/src/agent/outcome/final_answer.rs
@@ -5,7 +5,7 @@
 
 /// The prefix of every problem type.
 const PROBLEM_PREFIX: &str = "urn:cyclamenrouter:problem:";
-/// Converts to the seconds of `Retry-After`.
+/// Converts spans to the seconds of `Retry-After`.
 const MILLIS_PER_SECOND: u64 = 1_000;
 
 /// An answer that the agent itself sends; it ends the request.
--- a/src/agent/retry/retry_budget.rs
+++ b/src/agent/retry/retry_budget.rs
@@ -8,7 +8,7 @@
 const BUCKET_COUNT: usize = 10;
 /// `BUCKET_COUNT` as the type of bucket numbers.
 const WINDOW_BUCKETS: u64 = 10;
-/// Retries allowed per window however few requests there were.
+/// Retries allowed per window however few requests there were, unless the percentage is 0.
 const MIN_RETRIES: u64 = 1;
 
 /// The counts of one bucket of the window.
--- a/src/agent/ticket/ledger_entry.rs
+++ b/src/agent/ticket/ledger_entry.rs
@@ -12,7 +12,7 @@
 pub(crate) struct RequestFingerprint(u64);
 
 impl RequestFingerprint {
-    /// Hashes what is known before the body is read; `length` is the body's, if it was sent.
+    /// Hashes what is known before the body is read; `length` is the `Content-Length`.
     pub(crate) fn new(method: &str, path: &str, length: Option<u64>) -> Self {
         let mut hash = Xxh3::new();
         hash.update(method.as_bytes());
