--- a/src/directory/directory_news.rs
+++ b/src/directory/directory_news.rs
@@ -2,24 +2,24 @@
 
 use super::TargetRecord;
 
-/// How far a watcher has followed one replica's directory.
+/// The position up to which a watcher has followed the directory of one replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct DirectoryPlace {
-    /// A random number that names the run of the replica's directory.
+    /// A random number that identifies the run of the replica.
     pub(crate) run: u64,
-    /// The changes of that run that the watcher has.
+    /// The last revision of that run that the watcher has.
     pub(crate) revision: u64,
 }
 
-/// What changed in a directory.
+/// The changes of a directory since a position, or all of it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct DirectoryNews {
-    /// The place that the news leads to.
+    /// The position after these changes.
     pub(crate) place: DirectoryPlace,
-    /// Whether the records are the whole directory.
-    pub(crate) whole: bool,
-    /// Whether the directory has heard every agent that still runs.
+    /// Whether the records are the full directory.
+    pub(crate) full: bool,
+    /// Whether the directory has heard from every running agent.
     pub(crate) settled: bool,
-    /// The records.
+    /// The new or changed records.
     pub(crate) records: Vec<TargetRecord>,
 }
--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -1,9 +1,9 @@
-//! Which targets there are: soft state that agents announce and repeat.
+//! Directory of targets: soft state that agents announce periodically.
 //!
-//! Every replica of the control group keeps a directory of its own; nothing of
-//! it is agreed or written to disk. A replica that has just started knows
-//! little, so its directory is only added to what a balancer knows until it has
-//! heard every agent that still runs.
+//! Every replica of the control group keeps its own directory, which is neither
+//! replicated nor written to disk. A replica that has just started knows few
+//! targets, so a balancer merges its directory into the targets it knows, and
+//! removes none, until the replica has heard from every running agent.
 
 mod directory_news;
 mod target_directory;
--- a/src/directory/target_directory.rs
+++ b/src/directory/target_directory.rs
@@ -8,79 +8,80 @@
 
 /// How often an agent announces its target.
 pub(crate) const ANNOUNCE_MILLIS: SpanMillis = SpanMillis::new(500);
-/// The silence after which new flows avoid a target: four announcements and
-/// the time that one may be late.
-const SILENT_MILLIS: SpanMillis = SpanMillis::new(2_200);
-/// How long a silent target may hold flows that are looked for: longer than
-/// callers wait for an answer, so that afterwards nobody waits for it.
-const SILENT_KEPT_MILLIS: SpanMillis = SpanMillis::new(10_000);
-/// How long it is remembered that a target has ended, so that balancers know
-/// its flows to be gone.
-const ENDED_KEPT_MILLIS: SpanMillis = SpanMillis::new(60_000);
-/// The time after which every agent that still runs has been heard.
+/// Silence after which new flows avoid a target: four announcement intervals plus
+/// a margin for a late announcement.
+const SILENCE_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(2_200);
+/// How long after its last announcement a silent target is kept, since it may hold
+/// flows: longer than callers wait for an answer, so that no caller waits for it
+/// afterwards.
+const SILENT_RETENTION_MILLIS: SpanMillis = SpanMillis::new(10_000);
+/// How long the record of an ended target is kept, so that balancers know that its
+/// flows are lost.
+const ENDED_RETENTION_MILLIS: SpanMillis = SpanMillis::new(60_000);
+/// Time after its start at which a replica has heard from every running agent.
 const SETTLE_MILLIS: SpanMillis = SpanMillis::new(2_500);
-/// The targets from which on a common silence is blamed on this replica.
-const MASS_LEAST: usize = 4;
+/// Minimum number of live targets for the mass-silence check in `expire`.
+const MASS_SILENCE_MIN_TARGETS: usize = 4;
 
 #[derive(Debug, Clone, Copy)]
 struct DirectoryEntry {
     record: TargetRecord,
-    heard_at: ClockMillis,
-    /// The revision that brought the record.
+    last_heard_at: ClockMillis,
+    /// The revision that added or last changed the record.
     revision: u64,
 }
 
-/// The targets that one replica has heard of.
+/// The targets that have announced themselves to one replica.
 #[derive(Debug)]
 pub(crate) struct TargetDirectory {
     run: u64,
     revision: u64,
     started_at: ClockMillis,
     entries: BTreeMap<Ipv4Addr, DirectoryEntry>,
-    /// The revision of the last removal; older watchers need everything.
-    removed_at: u64,
-    /// Agents that ran before this replica started and were not heard since.
-    awaited: BTreeSet<Ipv4Addr>,
-    /// Whether it is known which agents ran before.
-    remembers: bool,
+    /// The revision of the last removal; watchers behind it need the full directory.
+    last_removal: u64,
+    /// Agents that ran before this replica started and have not announced since.
+    expected: BTreeSet<Ipv4Addr>,
+    /// Whether the agents that ran before this replica started are known.
+    knows_previous_agents: bool,
 }
 
 impl TargetDirectory {
-    /// Creates an empty directory; `run` names it.
+    /// Creates an empty directory; `run` identifies it.
     pub(crate) fn new(run: u64, now: ClockMillis) -> Self {
         Self {
             run,
             revision: 0,
             started_at: now,
             entries: BTreeMap::new(),
-            removed_at: 0,
-            awaited: BTreeSet::new(),
-            remembers: false,
+            last_removal: 0,
+            expected: BTreeSet::new(),
+            knows_previous_agents: false,
         }
     }
 
-    /// Sets the agents that ran before this replica started; none if that is
-    /// not known.
+    /// Sets the agents that ran before this replica started; an empty set if they
+    /// are unknown.
     pub(crate) fn await_agents(&mut self, agents: BTreeSet<Ipv4Addr>) {
-        self.remembers = !agents.is_empty();
-        self.awaited = agents;
-        self.awaited
+        self.knows_previous_agents = !agents.is_empty();
+        self.expected = agents;
+        self.expected
             .retain(|agent| !self.entries.contains_key(agent));
     }
 
-    /// Returns the agents that run.
+    /// Returns the agents whose targets are neither silent nor ended.
     pub(crate) fn running(&self) -> BTreeSet<Ipv4Addr> {
         let running = self.entries.values().filter(|entry| is_live(entry));
         running.map(|entry| entry.record.agent).collect()
     }
 
-    /// Returns whether every agent that still runs has been heard.
+    /// Returns whether every running agent has announced its target.
     pub(crate) fn is_settled(&self, now: ClockMillis) -> bool {
-        let heard_all = self.remembers && self.awaited.is_empty();
+        let heard_all = self.knows_previous_agents && self.expected.is_empty();
         heard_all || now.since(self.started_at) >= SETTLE_MILLIS
     }
 
-    /// Returns the place of a watcher that has everything.
+    /// Returns the position of a watcher that is up to date.
     pub(crate) fn place(&self) -> DirectoryPlace {
         DirectoryPlace {
             run: self.run,
@@ -88,18 +89,18 @@
         }
     }
 
-    /// Takes an announcement; returns whether it changed the directory.
+    /// Records an announcement; returns whether it changed the directory.
     pub(crate) fn announce(&mut self, record: TargetRecord, now: ClockMillis) -> bool {
-        self.awaited.remove(&record.agent);
-        let known = self.entries.get_mut(&record.agent);
-        if let Some(entry) = known {
+        self.expected.remove(&record.agent);
+        let current = self.entries.get_mut(&record.agent);
+        if let Some(entry) = current {
             let old = entry.record;
             if old.agent_run == record.agent_run && record.sequence <= old.sequence {
                 return false;
             }
-            entry.heard_at = now;
+            entry.last_heard_at = now;
             entry.record = record;
-            if old.is_like(&record) {
+            if old.has_same_state(&record) {
                 return false;
             }
         }
@@ -107,74 +108,75 @@
         true
     }
 
-    /// Marks agents that fell silent and drops those that stay so; returns
-    /// whether that changed the directory.
+    /// Marks targets as silent whose agents stopped announcing and drops expired
+    /// records; returns whether that changed the directory.
     ///
-    /// When most targets fall silent together they are kept: this replica is
-    /// the likelier fault.
+    /// If more than half of the live targets fall silent at once, none is marked:
+    /// a fault of this replica is more likely.
     pub(crate) fn expire(&mut self, now: ClockMillis) -> bool {
-        let before = self.revision;
-        let serving = self.entries.values().filter(|entry| is_live(entry)).count();
-        let lapsed: Vec<TargetRecord> = self
+        let revision_before = self.revision;
+        let live = self.entries.values().filter(|entry| is_live(entry)).count();
+        let silent: Vec<TargetRecord> = self
             .entries
             .values()
             .filter(|entry| is_live(entry))
-            .filter(|entry| now.since(entry.heard_at) >= SILENT_MILLIS)
+            .filter(|entry| now.since(entry.last_heard_at) >= SILENCE_TIMEOUT_MILLIS)
             .map(|entry| entry.record)
             .collect();
-        let common = serving >= MASS_LEAST && lapsed.len() * 2 > serving;
-        if !common {
-            for mut record in lapsed {
+        let mass_silence = live >= MASS_SILENCE_MIN_TARGETS && silent.len() * 2 > live;
+        if !mass_silence {
+            for mut record in silent {
                 record.standing = TargetStanding::Silent;
-                let heard_at = self.entries[&record.agent].heard_at;
-                self.set(record, heard_at);
+                let last_heard_at = self.entries[&record.agent].last_heard_at;
+                self.set(record, last_heard_at);
             }
         }
-        let held = self.entries.len();
+        let count_before = self.entries.len();
         self.entries
-            .retain(|_, entry| now.since(entry.heard_at) < kept_for(entry));
-        if self.entries.len() < held {
+            .retain(|_, entry| now.since(entry.last_heard_at) < retention(entry));
+        if self.entries.len() < count_before {
             self.revision += 1;
-            self.removed_at = self.revision;
+            self.last_removal = self.revision;
         }
-        self.revision != before
+        self.revision != revision_before
     }
 
-    /// Returns what a watcher at `place` lacks.
+    /// Returns the changes since `place`, or the full directory if `place` is of
+    /// another run or before the last removal.
     pub(crate) fn news(&self, place: DirectoryPlace, now: ClockMillis) -> DirectoryNews {
-        let follows = place.run == self.run && place.revision >= self.removed_at;
-        let seen = if follows { place.revision } else { 0 };
+        let is_delta = place.run == self.run && place.revision >= self.last_removal;
+        let seen = if is_delta { place.revision } else { 0 };
         let records = self
             .entries
             .values()
-            .filter(|entry| !follows || entry.revision > seen)
+            .filter(|entry| !is_delta || entry.revision > seen)
             .map(|entry| entry.record)
             .collect();
         DirectoryNews {
             place: self.place(),
-            whole: !follows,
+            full: !is_delta,
             settled: self.is_settled(now),
             records,
         }
     }
 
-    fn set(&mut self, record: TargetRecord, heard_at: ClockMillis) {
+    fn set(&mut self, record: TargetRecord, last_heard_at: ClockMillis) {
         self.revision += 1;
         let entry = DirectoryEntry {
             record,
-            heard_at,
+            last_heard_at,
             revision: self.revision,
         };
         self.entries.insert(record.agent, entry);
     }
 }
 
-/// Returns the silence after which an agent's record is dropped.
-fn kept_for(entry: &DirectoryEntry) -> SpanMillis {
+/// Returns the time since the last announcement after which a record is dropped.
+fn retention(entry: &DirectoryEntry) -> SpanMillis {
     match entry.record.standing {
-        TargetStanding::Ended => ENDED_KEPT_MILLIS,
-        TargetStanding::Silent => SILENT_KEPT_MILLIS,
-        // Kept against a common silence, which `expire` judges.
+        TargetStanding::Ended => ENDED_RETENTION_MILLIS,
+        TargetStanding::Silent => SILENT_RETENTION_MILLIS,
+        // Never dropped before `expire` marks them as silent.
         TargetStanding::Warming | TargetStanding::Serving | TargetStanding::Leaving => {
             SpanMillis::new(u64::MAX)
         }
--- a/src/directory/target_record.rs
+++ b/src/directory/target_record.rs
@@ -4,41 +4,42 @@
 
 use crate::{key::IncarnationId, listener::ServiceTag};
 
-/// Whether a target takes new flows, as its agent announces it.
+/// Whether a target accepts new flows, as announced by its agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum TargetStanding {
-    /// It takes new flows, but works slowly since it has just started.
+    /// It accepts new flows but is still slow after its start.
     Warming,
-    /// It takes new flows.
+    /// It accepts new flows.
     Serving,
-    /// It keeps its flows and takes no new ones.
+    /// It keeps its flows and accepts no new ones.
     Leaving,
-    /// Its agent has not been heard for a while; it may hold flows.
+    /// It or its agent has not answered for a while; it may hold flows.
     Silent,
-    /// It has ended and holds nothing.
+    /// It has ended and holds no flows.
     Ended,
 }
 
-/// What an agent announces of its target.
+/// An agent's announcement of its target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct TargetRecord {
-    /// The agent's address, which names the record.
+    /// The agent's address, which is the key of the record.
     pub(crate) agent: Ipv4Addr,
     /// The service.
     pub(crate) service: ServiceTag,
-    /// A random number that names this run of the agent.
+    /// A random number that identifies this run of the agent.
     pub(crate) agent_run: u64,
-    /// Counts the announcements of this run, so that a late one is known.
+    /// The number of the announcement within this run, to detect late ones.
     pub(crate) sequence: u64,
-    /// Names the start of the target; none before it announced itself.
+    /// The incarnation of the target; `None` before it announces itself.
     pub(crate) target: Option<IncarnationId>,
-    /// Whether the target takes new flows.
+    /// Whether the target accepts new flows.
     pub(crate) standing: TargetStanding,
 }
 
 impl TargetRecord {
-    /// Returns whether the other record of the same agent tells nothing new.
-    pub(crate) fn is_like(&self, other: &Self) -> bool {
+    /// Returns whether another record of the same agent differs only in its run or
+    /// sequence number.
+    pub(crate) fn has_same_state(&self, other: &Self) -> bool {
         (self.service, self.target, self.standing) == (other.service, other.target, other.standing)
     }
 }
--- a/src/directory/target_view.rs
+++ b/src/directory/target_view.rs
@@ -5,15 +5,15 @@
 
 use super::{DirectoryNews, TargetRecord, TargetStanding};
 use crate::{
-    flow::{KnownTargets, RankedTarget, ServiceTargets, TargetRanking, TargetStart},
+    flow::{KnownTargets, RankedTarget, ServiceTargets, TargetIncarnation, TargetRanking},
     listener::ServiceTag,
 };
 
-/// The share of a target that has just started, relative to a warm one: cold
-/// targets work at about half their speed.
+/// Weight of a target that has just started, relative to a warm one: cold targets
+/// run at about half their speed.
 const WARMING_WEIGHT: f64 = 0.5;
 
-/// The targets that a balancer knows, from the directory that it follows.
+/// The targets that a balancer knows from the directory that it watches.
 #[derive(Debug, Default)]
 pub(crate) struct TargetView {
     records: BTreeMap<Ipv4Addr, TargetRecord>,
@@ -31,39 +31,39 @@
         self.records.values()
     }
 
-    /// Takes news of a directory and returns the records that changed.
+    /// Applies an update of a directory; returns the records that changed.
     ///
-    /// What a directory that has just started does not list is kept.
+    /// Records that an unsettled directory does not list are kept.
     pub(crate) fn take_news(&mut self, news: DirectoryNews) -> Vec<TargetRecord> {
         let mut changed = Vec::new();
         self.complete = news.settled;
-        if news.whole && news.settled {
+        if news.full && news.settled {
             let listed =
                 |agent: &Ipv4Addr| news.records.iter().any(|record| record.agent == *agent);
             self.records.retain(|agent, _| listed(agent));
         }
         for record in news.records {
             let old = self.records.insert(record.agent, record);
-            if !old.is_some_and(|old| old.is_like(&record)) {
+            if !old.is_some_and(|old| old.has_same_state(&record)) {
                 changed.push(record);
             }
         }
         changed
     }
 
-    /// Returns all that is known of the targets, for the balancer's decisions.
+    /// Returns the known targets in the form that the balancer's decisions use.
     pub(crate) fn known_targets(&self) -> KnownTargets {
         KnownTargets {
             services: self.services(),
-            starts: self.records.values().map(start_of).collect(),
+            incarnations: self.records.values().map(incarnation_of).collect(),
             complete: self.complete,
         }
     }
 
-    /// Returns the targets of every service, ready to be ranked.
+    /// Returns the rankings of the targets of every service.
     fn services(&self) -> HashMap<ServiceTag, ServiceTargets> {
-        let mut open: HashMap<ServiceTag, Vec<RankedTarget>> = HashMap::new();
-        let mut hold: HashMap<ServiceTag, Vec<RankedTarget>> = HashMap::new();
+        let mut accepting: HashMap<ServiceTag, Vec<RankedTarget>> = HashMap::new();
+        let mut possible_owners: HashMap<ServiceTag, Vec<RankedTarget>> = HashMap::new();
         for record in self.records.values() {
             let weight = match record.standing {
                 TargetStanding::Warming => Some(WARMING_WEIGHT),
@@ -73,28 +73,31 @@
             let agent = record.agent;
             if let Some(weight) = weight {
                 let ranked = RankedTarget { agent, weight };
-                open.entry(record.service).or_default().push(ranked);
+                accepting.entry(record.service).or_default().push(ranked);
             }
             if record.standing != TargetStanding::Ended {
                 let ranked = RankedTarget { agent, weight: 1.0 };
-                hold.entry(record.service).or_default().push(ranked);
+                possible_owners
+                    .entry(record.service)
+                    .or_default()
+                    .push(ranked);
             }
         }
         let mut services: HashMap<ServiceTag, ServiceTargets> = HashMap::new();
-        for (service, targets) in open {
-            services.entry(service).or_default().open = TargetRanking::new(targets);
+        for (service, targets) in accepting {
+            services.entry(service).or_default().accepting = TargetRanking::new(targets);
         }
-        for (service, targets) in hold {
-            services.entry(service).or_default().hold = TargetRanking::new(targets);
+        for (service, targets) in possible_owners {
+            services.entry(service).or_default().possible_owners = TargetRanking::new(targets);
         }
         services
     }
 }
 
-fn start_of(record: &TargetRecord) -> (Ipv4Addr, TargetStart) {
-    let start = TargetStart {
-        target: record.target,
+fn incarnation_of(record: &TargetRecord) -> (Ipv4Addr, TargetIncarnation) {
+    let incarnation = TargetIncarnation {
+        id: record.target,
         ended: record.standing == TargetStanding::Ended,
     };
-    (record.agent, start)
+    (record.agent, incarnation)
 }
--- a/src/directory/tests.rs
+++ b/src/directory/tests.rs
@@ -36,7 +36,7 @@
     known
         .services
         .get(&ServiceTag::of("tavole"))
-        .map_or(0, |targets| targets.open.len())
+        .map_or(0, |targets| targets.accepting.len())
 }
 
 #[test]
@@ -63,7 +63,7 @@
     assert!(directory.news(place, SETTLED).records.is_empty());
     directory.announce(record(1, 2, TargetStanding::Leaving), START);
     let news = directory.news(place, SETTLED);
-    assert!(!news.whole);
+    assert!(!news.full);
     assert_eq!(news.records, [record(1, 2, TargetStanding::Leaving)]);
 }
 
--- a/src/flow/agent_flows.rs
+++ b/src/flow/agent_flows.rs
@@ -1,14 +1,14 @@
 use std::{collections::HashMap, net::Ipv4Addr};
 
 use super::{
-    AgentAction, AgentStep, AgentTarget, FlowKey, FlowPacket, FlowReport, FlowReset, HeldFinding,
+    AgentAction, AgentFlowInfo, AgentStep, AgentTarget, FlowKey, FlowPacket, FlowReport, FlowReset,
     HopHeader, PacketSigns, ReportKind,
-    held_flow::HeldFlow,
+    delivery_ring::DeliveryRing,
     opening_queue::OpeningQueue,
-    opening_watch::{OpeningWatch, WatchedOpening},
-    pass_ring::PassRing,
+    pending_openings::{PendingOpening, PendingOpenings},
     target_health::TargetHealth,
     target_load::TargetLoad,
+    tracked_flow::TrackedFlow,
 };
 use crate::{
     clock::{ClockMillis, SpanMillis},
@@ -16,66 +16,67 @@
     listener::ServiceTag,
 };
 
-/// How long a target may take to answer an opening packet; a healthy one
+/// Time after which an opening packet counts as unanswered; a healthy target
 /// answers within a few milliseconds.
-const ANSWER_MILLIS: SpanMillis = SpanMillis::new(30);
-/// The most flows that an agent remembers.
-const MAX_HELD: usize = 16_384;
+const ANSWER_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(30);
+/// Maximum number of flows that an agent tracks; further flows are not tracked.
+const MAX_TRACKED_FLOWS: usize = 16_384;
 
-/// The flows of one target as its agent sees them.
+/// Flow state of one target, kept by the agent next to it.
 #[derive(Debug)]
 pub(crate) struct AgentFlows {
-    pub(super) own: Ipv4Addr,
+    pub(super) own_address: Ipv4Addr,
     pub(super) service: ServiceTag,
     pub(super) target: AgentTarget,
     pub(super) incarnation: Option<IncarnationId>,
     pub(super) health: TargetHealth,
-    pub(super) held: HashMap<FlowKey, HeldFlow>,
-    pub(super) openings: OpeningWatch,
+    pub(super) tracked: HashMap<FlowKey, TrackedFlow>,
+    pub(super) openings: PendingOpenings,
     pub(super) load: TargetLoad,
     pub(super) queue: OpeningQueue,
-    /// Openings that had to make room in the queue.
-    pub(super) displaced: Vec<WatchedOpening>,
-    pub(super) ring: PassRing,
+    /// Openings evicted from the queue, to be refused.
+    pub(super) evicted: Vec<PendingOpening>,
+    pub(super) ring: DeliveryRing,
     pub(super) idle: SpanMillis,
 }
 
 impl AgentFlows {
-    /// Creates the state of an agent that has just started; flows without a
-    /// packet for `idle` are forgotten.
+    /// Creates the state of an agent that has just started. Flows that carry no
+    /// packet for `idle` are dropped.
     pub(crate) fn new(
-        own: Ipv4Addr,
+        own_address: Ipv4Addr,
         service: ServiceTag,
         first_tag: u32,
         idle: SpanMillis,
     ) -> Self {
         Self {
-            own,
+            own_address,
             service,
             target: AgentTarget::Unproved,
             incarnation: None,
             health: TargetHealth::default(),
-            held: HashMap::new(),
-            openings: OpeningWatch::new(ANSWER_MILLIS),
+            tracked: HashMap::new(),
+            openings: PendingOpenings::new(ANSWER_TIMEOUT_MILLIS),
             load: TargetLoad::default(),
             queue: OpeningQueue::default(),
-            displaced: Vec::new(),
-            ring: PassRing::new(first_tag),
+            evicted: Vec::new(),
+            ring: DeliveryRing::new(first_tag),
             idle,
         }
     }
 
-    /// Sets whether the target takes new flows, and which start of it that is.
+    /// Sets the state of the target and its incarnation.
     ///
-    /// Returns the callers whose flows are gone by that: those that wait for an
-    /// answer send nothing that could be answered. Flows first seen after
-    /// `gone_before` may be on a target that has started again already and was
-    /// not heard of; the target bounces their next packet if they are not.
+    /// If the target ended or restarted, returns resets for its established
+    /// flows: a caller that waits for an answer sends no packet that could be
+    /// answered with one. Flows first seen at or after `cutoff` are kept, since
+    /// a restarted target that has not announced itself yet may hold them; if
+    /// it does not, it bounces their next packet.
     pub(crate) fn set_target(
         &mut self,
         target: AgentTarget,
         incarnation: Option<IncarnationId>,
-        gone_before: ClockMillis,
+        cutoff: ClockMillis,
     ) -> Vec<FlowReset> {
         let restarted = self.incarnation.is_some() && self.incarnation != incarnation;
         let ended = matches!(target, AgentTarget::Ended | AgentTarget::Lost);
@@ -85,62 +86,63 @@
             return Vec::new();
         }
         self.load.clear();
-        let gone = self.held.extract_if(|_, held| held.seen_at < gone_before);
-        gone.filter(|(_, held)| held.established)
-            .map(|(flow, held)| FlowReset {
+        let gone = self
+            .tracked
+            .extract_if(|_, tracked| tracked.first_seen_at < cutoff);
+        gone.filter(|(_, tracked)| tracked.established)
+            .map(|(flow, tracked)| FlowReset {
                 flow,
-                sequence: held.acknowledged,
+                sequence: tracked.acknowledged,
             })
             .collect()
     }
 
-    /// Returns whether the target is suspected to be unable to answer.
+    /// Returns whether the target is suspected of not answering.
     pub(crate) fn is_suspect(&self) -> bool {
         self.health.is_suspect()
     }
 
-    /// Returns what is known of a flow.
-    pub(crate) fn find(&self, flow: FlowKey, now: ClockMillis) -> Option<HeldFinding> {
-        self.held.get(&flow).map(|held| HeldFinding {
-            balancer: held.balancer,
-            reported: held.reported,
-            established: held.established,
-            idle: now.since(held.used_at),
+    /// Returns the state of a flow for inspection.
+    pub(crate) fn find(&self, flow: FlowKey, now: ClockMillis) -> Option<AgentFlowInfo> {
+        self.tracked.get(&flow).map(|tracked| AgentFlowInfo {
+            balancer: tracked.balancer,
+            reported: tracked.reported,
+            established: tracked.established,
+            idle: now.since(tracked.last_packet_at),
         })
     }
 
-    /// Returns how long the target has sent no packet, `None` if it never did.
+    /// Returns the time since the target last sent anything, `None` if it never did.
     pub(crate) fn silence(&self, now: ClockMillis) -> Option<SpanMillis> {
         self.health.silence(now)
     }
 
-    /// Sets how many requests the target works on at a time, if it says so.
+    /// Sets how many requests the target processes concurrently, if it announced that.
     pub(crate) fn set_slots(&mut self, slots: Option<u32>) {
         self.load.set_slots(slots);
     }
 
-    /// Returns the number of requests that the target works on.
+    /// Returns the number of requests in flight at the target.
     pub(crate) fn busy(&self) -> usize {
         self.load.busy()
     }
 
-    /// Returns the number of openings that wait for a free slot.
+    /// Returns the number of openings queued for a free slot.
     pub(crate) fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Returns the number of remembered flows.
+    /// Returns the number of tracked flows.
     pub(crate) fn held(&self) -> usize {
-        self.held.len()
+        self.tracked.len()
     }
 
-    /// Notes that the target has announced itself; returns whether it had been
-    /// suspected.
+    /// Records an announcement of the target; returns whether it was suspected.
     pub(crate) fn hear_target(&mut self, now: ClockMillis) -> bool {
-        self.health.hear(now)
+        self.health.record_activity(now)
     }
 
-    /// Takes a packet of a caller.
+    /// Handles a packet from a caller.
     pub(crate) fn take_frame(
         &mut self,
         header: HopHeader,
@@ -150,58 +152,61 @@
     ) -> AgentStep {
         if packet.opens() {
             if header.service != self.service {
-                // The address was another service's before.
+                // The address belonged to another service before.
                 return self.pass_on(header, packet);
             }
-            return self.take_opening(header, packet, bytes, now);
+            return self.handle_opening(header, packet, bytes, now);
         }
-        // A target gives back what it does not hold, so an open flow is looked
-        // for at former services of its route, too.
+        // Other packets are delivered whatever their service: the flow may have
+        // been opened under a former service of its route, and the target
+        // bounces packets of flows that it does not hold.
         let flow = packet.caller_flow();
         if matches!(self.target, AgentTarget::Ended | AgentTarget::Lost) {
-            return match self.held.remove(&flow) {
-                Some(held) if held.established => self.end_flow(header, packet, ReportKind::Gone),
+            return match self.tracked.remove(&flow) {
+                Some(tracked) if tracked.established => {
+                    self.reset_flow(header, packet, ReportKind::Gone)
+                }
                 _ => self.pass_on(header, packet),
             };
         }
-        self.remember(flow, header.balancer, now);
-        if let Some(held) = self.held.get_mut(&flow) {
-            held.acknowledged = packet.acknowledged;
-            if held.takes_new_bytes(packet) {
-                self.load.begin(flow, now);
+        self.track(flow, header.balancer, now);
+        if let Some(tracked) = self.tracked.get_mut(&flow) {
+            tracked.acknowledged = packet.acknowledged;
+            if tracked.record_data(packet) {
+                self.load.start(flow, now);
             }
         }
-        let tag = self.ring.remember(header);
-        AgentStep::quiet(AgentAction::Deliver { tag })
+        let tag = self.ring.insert(header);
+        AgentStep::without_report(AgentAction::Deliver { tag })
     }
 
-    /// Takes a packet that the target has sent or given back.
+    /// Handles a packet that the target sent or bounced.
     pub(crate) fn take_answer(&mut self, packet: &FlowPacket, now: ClockMillis) -> AgentStep {
-        self.health.hear(now);
+        self.health.record_activity(now);
         if packet.signs.has(PacketSigns::BOUNCED) {
-            return self.take_bounce(packet);
+            return self.handle_bounce(packet);
         }
         let flow = packet.target_flow();
         if packet.signs.has(PacketSigns::RESET) {
-            self.held.remove(&flow);
+            self.tracked.remove(&flow);
             self.load.cancel(flow);
-            return AgentStep::quiet(AgentAction::Return);
+            return AgentStep::without_report(AgentAction::Return);
         }
         if packet.data_bytes > 0 || packet.signs.has(PacketSigns::FINISH) {
             self.load.finish(flow, now);
         }
-        let opening = self.openings.take(flow);
+        let opening = self.openings.remove(flow);
         let balancer = opening.map(|opening| opening.header.balancer);
         if let Some(balancer) = balancer {
-            self.remember(flow, balancer, now);
+            self.track(flow, balancer, now);
         }
         let mut report = None;
-        if let Some(held) = self.held.get_mut(&flow) {
-            held.used_at = now;
-            held.established |= !packet.signs.has(PacketSigns::OPEN);
-            if !held.reported {
-                held.reported = true;
-                report = Some((held.balancer, self.report(flow, 0, ReportKind::Held)));
+        if let Some(tracked) = self.tracked.get_mut(&flow) {
+            tracked.last_packet_at = now;
+            tracked.established |= !packet.signs.has(PacketSigns::OPEN);
+            if !tracked.reported {
+                tracked.reported = true;
+                report = Some((tracked.balancer, self.report(flow, 0, ReportKind::Held)));
             }
         }
         AgentStep {
@@ -210,85 +215,90 @@
         }
     }
 
-    /// Takes a packet back that the target does not want.
-    fn take_bounce(&mut self, packet: &FlowPacket) -> AgentStep {
+    /// Handles a caller's packet that the target bounced.
+    fn handle_bounce(&mut self, packet: &FlowPacket) -> AgentStep {
         let Some(header) = self.ring.take(packet.tag) else {
-            return AgentStep::quiet(AgentAction::Drop);
+            return AgentStep::without_report(AgentAction::Drop);
         };
         let flow = packet.caller_flow();
         self.load.cancel(flow);
         if packet.opens() {
-            self.openings.take(flow);
+            self.openings.remove(flow);
             return self.pass_on(header, packet);
         }
-        match self.held.remove(&flow) {
-            // The target held the flow and does no longer: it has restarted.
-            Some(held) if held.established => self.end_flow(header, packet, ReportKind::Gone),
+        match self.tracked.remove(&flow) {
+            // The target held the flow before, so it has restarted.
+            Some(tracked) if tracked.established => {
+                self.reset_flow(header, packet, ReportKind::Gone)
+            }
             _ => self.pass_on(header, packet),
         }
     }
 
-    /// Forgets flows without a packet for long.
+    /// Drops idle flows.
     pub(crate) fn sweep(&mut self, now: ClockMillis) {
         let idle = self.idle;
-        self.held.retain(|_, held| now.since(held.used_at) < idle);
+        self.tracked
+            .retain(|_, tracked| now.since(tracked.last_packet_at) < idle);
     }
 
-    fn remember(&mut self, flow: FlowKey, balancer: Ipv4Addr, now: ClockMillis) {
-        if self.held.len() >= MAX_HELD {
+    fn track(&mut self, flow: FlowKey, balancer: Ipv4Addr, now: ClockMillis) {
+        if self.tracked.len() >= MAX_TRACKED_FLOWS {
             self.sweep(now);
         }
-        if self.held.len() >= MAX_HELD {
+        if self.tracked.len() >= MAX_TRACKED_FLOWS {
             return;
         }
-        let held = self.held.entry(flow).or_insert(HeldFlow {
+        let tracked = self.tracked.entry(flow).or_insert(TrackedFlow {
             balancer,
             reported: false,
             established: false,
             acknowledged: 0,
-            sent_to: None,
-            seen_at: now,
-            used_at: now,
+            next_sequence: None,
+            first_seen_at: now,
+            last_packet_at: now,
         });
-        held.used_at = now;
-        if held.balancer != balancer {
-            held.balancer = balancer;
-            held.reported = false;
+        tracked.last_packet_at = now;
+        if tracked.balancer != balancer {
+            tracked.balancer = balancer;
+            tracked.reported = false;
         }
     }
 
-    /// Passes a packet on to the next candidate; an opening that none can take
-    /// is refused, since it has not run anywhere.
+    /// Passes a packet on to the next candidate. Without one, an opening is
+    /// refused, which is safe since no request has run yet; other packets are
+    /// dropped and reported as not held.
     pub(super) fn pass_on(&self, header: HopHeader, packet: &FlowPacket) -> AgentStep {
         match header.next_hop() {
-            Some((to, header)) => AgentStep::quiet(AgentAction::PassOn { to, header }),
-            None if packet.opens() => self.end_flow(header, packet, ReportKind::Refused),
+            Some((to, header)) => AgentStep::without_report(AgentAction::PassOn { to, header }),
+            None if packet.opens() => self.reset_flow(header, packet, ReportKind::Refused),
             None => AgentStep {
                 action: AgentAction::Drop,
                 report: Some((
                     header.balancer,
-                    self.report(packet.caller_flow(), header.walk, ReportKind::NotHeld),
+                    self.report(packet.caller_flow(), header.lookup_id, ReportKind::NotHeld),
                 )),
             },
         }
     }
 
-    fn end_flow(&self, header: HopHeader, packet: &FlowPacket, kind: ReportKind) -> AgentStep {
+    /// Resets the caller's flow and reports `kind` to the balancer.
+    fn reset_flow(&self, header: HopHeader, packet: &FlowPacket, kind: ReportKind) -> AgentStep {
         AgentStep {
             action: AgentAction::Reset(FlowReset::answering(packet)),
             report: Some((
                 header.balancer,
-                self.report(packet.caller_flow(), header.walk, kind),
+                self.report(packet.caller_flow(), header.lookup_id, kind),
             )),
         }
     }
 
-    pub(super) fn report(&self, flow: FlowKey, walk: u32, kind: ReportKind) -> FlowReport {
+    pub(super) fn report(&self, flow: FlowKey, lookup_id: u32, kind: ReportKind) -> FlowReport {
         FlowReport {
             flow,
-            agent: self.own,
-            target: self.incarnation,
-            walk,
+            agent: self.own_address,
+            incarnation: self.incarnation,
+            lookup_id,
             kind,
         }
     }
--- a/src/flow/agent_openings.rs
+++ b/src/flow/agent_openings.rs
@@ -1,15 +1,15 @@
-//! What an agent does with openings: hands them to its target, keeps them until
-//! it has a free slot, passes them on or refuses them.
+//! Handling of openings at an agent: deliver them to the target, queue them until
+//! it has a free slot, pass them on or refuse them.
 
 use super::{
-    AgentAction, AgentFlows, AgentStep, AgentTarget, FlowKey, FlowPacket, FlowReset, HopHeader,
-    ReportKind, WaitEnd, opening_watch::WatchedOpening,
+    AgentAction, AgentFlows, AgentStep, AgentTarget, DequeuedOpening, FlowKey, FlowPacket,
+    FlowReset, HopHeader, ReportKind, pending_openings::PendingOpening,
 };
 use crate::clock::ClockMillis;
 
 impl AgentFlows {
-    /// Takes an opening: hands it over, keeps it, or passes it on.
-    pub(super) fn take_opening(
+    /// Delivers, queues, passes on or refuses an opening.
+    pub(super) fn handle_opening(
         &mut self,
         header: HopHeader,
         packet: &FlowPacket,
@@ -17,79 +17,78 @@
         now: ClockMillis,
     ) -> AgentStep {
         let flow = packet.caller_flow();
-        let copy = self.held.contains_key(&flow) || self.openings.holds(flow);
-        let takes = match self.target {
+        let retransmitted = self.tracked.contains_key(&flow) || self.openings.contains(flow);
+        let accepts = match self.target {
             AgentTarget::Unproved | AgentTarget::Serving => {
-                copy || !self.health.is_suspect() || header.candidates().is_empty()
+                retransmitted || !self.health.is_suspect() || header.candidates().is_empty()
             }
-            AgentTarget::Leaving => self.held.contains_key(&flow),
+            AgentTarget::Leaving => self.tracked.contains_key(&flow),
             AgentTarget::Ended | AgentTarget::Lost => false,
         };
-        if !takes {
+        if !accepts {
             return self.pass_on(header, packet);
         }
-        let opening = WatchedOpening {
+        let opening = PendingOpening {
             flow,
             header,
             packet: bytes.to_vec(),
-            asked_at: now.before(header.age),
+            first_sent_at: now.before(header.age),
             sent_at: now,
         };
-        if copy || self.load.has_room(now) {
-            return AgentStep::quiet(self.deliver_opening(opening, now));
+        if retransmitted || self.load.has_capacity(now) {
+            return AgentStep::without_report(self.deliver_opening(opening, now));
         }
-        if self.queue.holds(flow) {
-            return self.wait(&opening);
+        if self.queue.contains(flow) {
+            return self.waiting_step(&opening);
         }
         if !header.candidates().is_empty() {
             return self.pass_on(header, packet);
         }
-        let step = self.wait(&opening);
-        let servable = self.load.begins_within(header.urgency.timeout);
-        self.displaced
-            .extend(self.queue.push(opening, servable, now));
+        let step = self.waiting_step(&opening);
+        let capacity = self.load.capacity_within(header.urgency.timeout);
+        self.evicted.extend(self.queue.push(opening, capacity, now));
         step
     }
 
-    fn wait(&self, opening: &WatchedOpening) -> AgentStep {
+    fn waiting_step(&self, opening: &PendingOpening) -> AgentStep {
         AgentStep {
             action: AgentAction::Wait,
             report: Some((
                 opening.header.balancer,
-                self.report(opening.flow, opening.header.walk, ReportKind::Waiting),
+                self.report(opening.flow, opening.header.lookup_id, ReportKind::Waiting),
             )),
         }
     }
 
-    fn deliver_opening(&mut self, opening: WatchedOpening, now: ClockMillis) -> AgentAction {
-        let tag = self.ring.remember(opening.header);
-        if !self.held.contains_key(&opening.flow) {
+    fn deliver_opening(&mut self, opening: PendingOpening, now: ClockMillis) -> AgentAction {
+        let tag = self.ring.insert(opening.header);
+        if !self.tracked.contains_key(&opening.flow) {
             self.load.reserve(opening.flow, now);
         }
-        self.openings.watch(opening);
+        self.openings.insert(opening);
         AgentAction::Deliver { tag }
     }
 
-    /// Returns the next opening whose wait is over: the target has a free slot, or
-    /// it can't be served any more.
-    pub(crate) fn next_waiting(&mut self, now: ClockMillis) -> Option<WaitEnd> {
-        let takes = matches!(self.target, AgentTarget::Unproved | AgentTarget::Serving);
-        let hopeless = self
-            .displaced
+    /// Removes the next opening that need not wait any longer from the queue: it
+    /// is refused if it can't be served in time, or delivered to a free slot.
+    pub(crate) fn next_waiting(&mut self, now: ClockMillis) -> Option<DequeuedOpening> {
+        let accepts = matches!(self.target, AgentTarget::Unproved | AgentTarget::Serving);
+        let unservable = self
+            .evicted
             .pop()
-            .or_else(|| self.queue.take_lapsed(now))
-            .or_else(|| if takes { None } else { self.queue.take_any() });
-        if let Some(opening) = hopeless {
-            return Some(self.refuse_waiting(opening, now));
+            .or_else(|| self.queue.take_expired(now))
+            .or_else(|| if accepts { None } else { self.queue.take_any() });
+        if let Some(opening) = unservable {
+            return Some(self.refuse_queued(opening, now));
         }
-        if self.queue.len() == 0 || !self.load.has_room(now) {
+        if self.queue.len() == 0 || !self.load.has_capacity(now) {
             return None;
         }
         let opening = self.queue.take_next(now)?;
         let (packet, flow) = (opening.packet.clone(), opening.flow);
         let waited = now.since(opening.sent_at);
-        let step = AgentStep::quiet(self.deliver_opening(opening, now));
-        Some(WaitEnd {
+        let step = AgentStep::without_report(self.deliver_opening(opening, now));
+        Some(DequeuedOpening {
             flow,
             packet,
             waited,
@@ -97,9 +96,9 @@
         })
     }
 
-    fn refuse_waiting(&self, opening: WatchedOpening, now: ClockMillis) -> WaitEnd {
-        let report = self.report(opening.flow, opening.header.walk, ReportKind::Refused);
-        WaitEnd {
+    fn refuse_queued(&self, opening: PendingOpening, now: ClockMillis) -> DequeuedOpening {
+        let report = self.report(opening.flow, opening.header.lookup_id, ReportKind::Refused);
+        DequeuedOpening {
             flow: opening.flow,
             packet: opening.packet,
             waited: now.since(opening.sent_at),
@@ -113,32 +112,32 @@
         }
     }
 
-    /// Returns the openings that the target left unanswered and what becomes
-    /// of each.
+    /// Returns the openings that the target left unanswered, each with what to do
+    /// with it.
     pub(crate) fn expire_openings(
         &mut self,
         now: ClockMillis,
     ) -> Vec<(Vec<u8>, FlowKey, AgentStep)> {
         let mut steps = Vec::new();
         while let Some(opening) = self.openings.take_due(now) {
-            self.health.miss(opening.sent_at);
+            self.health.record_unanswered(opening.sent_at);
             self.load.cancel(opening.flow);
             let step = match opening.header.next_hop() {
-                Some((to, header)) => AgentStep::quiet(AgentAction::PassOn { to, header }),
-                None => AgentStep::quiet(AgentAction::Drop),
+                Some((to, header)) => AgentStep::without_report(AgentAction::PassOn { to, header }),
+                None => AgentStep::without_report(AgentAction::Drop),
             };
             steps.push((opening.packet, opening.flow, step));
         }
         steps
     }
 
-    /// Returns when an opening may next be overdue, or wait no longer.
+    /// Returns when an opening may next time out or leave the queue.
     pub(crate) fn next_due(&self) -> Option<ClockMillis> {
-        let waiting = self.queue.next_lapse().map(|lapse| {
-            let freed = self.load.next_lapse();
-            freed.map_or(lapse, |freed| freed.min(lapse))
+        let queued = self.queue.next_expiry().map(|expiry| {
+            let freed = self.load.next_expiry();
+            freed.map_or(expiry, |freed| freed.min(expiry))
         });
-        let due = self.openings.next_due().into_iter().chain(waiting);
+        let due = self.openings.next_due().into_iter().chain(queued);
         due.min()
     }
 }
--- a/src/flow/agent_step.rs
+++ b/src/flow/agent_step.rs
@@ -1,49 +1,49 @@
-//! What an agent decides on a packet.
+//! Decisions of an agent on a packet.
 
 use std::{fmt, net::Ipv4Addr};
 
 use super::{FlowKey, FlowReport, FlowReset, HopHeader};
 use crate::clock::SpanMillis;
 
-/// Whether the target takes new flows.
+/// The state of the target as its agent sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AgentTarget {
-    /// The agent has just started and has not heard of the target; it may hold
-    /// flows and may take new ones.
+    /// The agent has just started and the target has not announced itself; it may
+    /// hold flows and may take new ones.
     Unproved,
-    /// It takes new flows.
+    /// The target takes new flows.
     Serving,
-    /// It keeps its flows and gets no new ones.
+    /// The target keeps its flows and gets no new ones.
     Leaving,
-    /// It has ended; its flows are gone.
+    /// The target has ended; its flows are lost.
     Ended,
-    /// It sends nothing though it shares the agent's VM, where nothing can come
-    /// between them: it has crashed, and its flows are gone.
+    /// The target has crashed and its flows are lost: it sends nothing although it
+    /// runs on the agent's VM, where no network fault can separate them.
     Lost,
 }
 
-/// What the shell does with the packet at hand.
+/// What to do with a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AgentAction {
-    /// Hand it to the target with this tag.
+    /// Deliver it to the target.
     Deliver {
-        /// The tag to write into the packet.
+        /// The tag to write into the packet; a bounced packet returns it.
         tag: u32,
     },
     /// Send it to the caller.
     Return,
-    /// Send it to another agent.
+    /// Pass it on to another agent.
     PassOn {
         /// The agent.
         to: Ipv4Addr,
         /// The frame's header.
         header: HopHeader,
     },
-    /// Send a reset to the caller instead.
+    /// Discard it and send a reset to the caller.
     Reset(FlowReset),
-    /// Keep it until the target has a free slot.
+    /// Queue it until the target has a free slot.
     Wait,
-    /// Drop it: nobody is known who may take it.
+    /// Drop it: no agent is left that may take it.
     Drop,
 }
 
@@ -60,30 +60,29 @@
     }
 }
 
-/// What to do with a packet, and what to tell the balancer.
+/// What to do with a packet and what to report to the balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct AgentStep {
-    /// What becomes of the packet.
     pub(crate) action: AgentAction,
-    /// The balancer and the report for it.
+    /// The balancer and the report to send to it.
     pub(crate) report: Option<(Ipv4Addr, FlowReport)>,
 }
 
-/// The end of an opening's wait for a free slot.
+/// An opening that left the queue, to be delivered or refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct WaitEnd {
-    /// The opening's flow.
+pub(crate) struct DequeuedOpening {
     pub(crate) flow: FlowKey,
-    /// The opening as the caller sent it.
+    /// The packet as the caller sent it.
     pub(crate) packet: Vec<u8>,
-    /// How long it waited.
+    /// How long it was queued.
     pub(crate) waited: SpanMillis,
-    /// What becomes of it.
+    /// What to do with it.
     pub(crate) step: AgentStep,
 }
 
 impl AgentStep {
-    pub(super) const fn quiet(action: AgentAction) -> Self {
+    /// Creates a step that reports nothing.
+    pub(super) const fn without_report(action: AgentAction) -> Self {
         Self {
             action,
             report: None,
--- a/src/flow/balancer_flows.rs
+++ b/src/flow/balancer_flows.rs
@@ -1,69 +1,72 @@
 use std::{collections::HashMap, net::Ipv4Addr};
 
 use super::{
-    FlowFinding, FlowKey, FlowPacket, FlowReport, FlowReset, FlowVerdict, FoundOwner, HopHeader,
-    KnownTargets, RefusalCause, ReportKind, ReportStep,
-    flow_walk::{FlowWalk, WalkTable},
+    BalancerFlowInfo, FlowKey, FlowOwnerInfo, FlowPacket, FlowReport, FlowReset, FlowVerdict,
+    HopHeader, KnownTargets, RefusalCause, ReportKind, ReportStep,
     hop_frame::MAX_CANDIDATES,
-    opening_watch::{OpeningWatch, WatchedOpening},
     owner_cache::OwnerCache,
+    owner_lookup::{OwnerLookup, PendingLookups},
     parked_packets::ParkedPackets,
+    pending_openings::{PendingOpening, PendingOpenings},
 };
 use crate::{
     clock::{ClockMillis, SpanMillis},
     listener::{ListenerTable, RouteChoice, ServiceTag},
 };
 
-/// How long an agent may take to report an opening; it waits for its target
-/// half as long before it passes the packet on.
-const REPORT_MILLIS: SpanMillis = SpanMillis::new(60);
-/// How long new flows avoid an agent that left an opening unreported.
-const SUSPECT_MILLIS: SpanMillis = SpanMillis::new(1_000);
-/// The unreported openings in a row after which a balancer may be cut off.
-const ISOLATED_OPENINGS: u32 = 4;
-/// The candidates that an opening is offered to besides the first one.
+/// Time after which an opening counts as unreported; an agent waits for its
+/// target half as long before it passes the opening on.
+const REPORT_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(60);
+/// How long new flows avoid an agent that did not report an opening.
+const SUSPICION_MILLIS: SpanMillis = SpanMillis::new(1_000);
+/// Number of unreported openings in a row after which a balancer counts as
+/// isolated.
+const ISOLATION_THRESHOLD: u32 = 4;
+/// Number of candidates of an opening besides the first one.
 const OPENING_CANDIDATES: usize = 5;
 
-/// The flows of a balancer: which agent gets which packet.
+/// Flow state of a balancer, which decides what agent gets each packet.
 #[derive(Debug)]
 pub(crate) struct BalancerFlows {
-    pub(super) own: Ipv4Addr,
+    pub(super) own_address: Ipv4Addr,
     pub(super) table: ListenerTable,
     pub(super) targets: KnownTargets,
-    pub(super) walks: WalkTable,
-    /// The number of the last search for an owner.
-    pub(super) last_walk: u32,
+    pub(super) lookups: PendingLookups,
+    /// The id of the last round of any owner lookup.
+    pub(super) last_lookup_id: u32,
     pub(super) owners: OwnerCache,
-    pub(super) openings: OpeningWatch,
-    /// Where each watched opening was sent first.
-    pub(super) sent_to: HashMap<FlowKey, Ipv4Addr>,
+    pub(super) openings: PendingOpenings,
+    /// The agent that each pending opening was sent to.
+    pub(super) opening_agents: HashMap<FlowKey, Ipv4Addr>,
+    /// Agents that new flows avoid, each with the time when the suspicion ends.
     pub(super) suspects: HashMap<Ipv4Addr, ClockMillis>,
-    /// The openings that nobody reported since the last report.
-    pub(super) unreported: u32,
-    /// Whether routes and targets are current, so that refusals are true.
+    /// Openings that timed out without a report since the last report.
+    pub(super) unreported_openings: u32,
+    /// Whether routes and targets are current, so that flows may be refused.
     pub(super) current: bool,
-    /// Whether they have been so since this balancer started.
-    pub(super) was_current: bool,
-    /// Packets that wait until routes and targets are known.
+    /// Whether they were ever current since this balancer started.
+    pub(super) was_ever_current: bool,
+    /// Packets held until routes and targets are known.
     pub(super) parked: ParkedPackets,
 }
 
 impl BalancerFlows {
-    /// Creates the state of a balancer that knows nothing yet.
-    pub(crate) fn new(own: Ipv4Addr, table: ListenerTable, idle: SpanMillis) -> Self {
+    /// Creates the state of a balancer without routes or targets. Flows that
+    /// carry no packet for `idle` are dropped.
+    pub(crate) fn new(own_address: Ipv4Addr, table: ListenerTable, idle: SpanMillis) -> Self {
         Self {
-            own,
+            own_address,
             table,
             targets: KnownTargets::default(),
-            walks: WalkTable::default(),
-            last_walk: 0,
+            lookups: PendingLookups::default(),
+            last_lookup_id: 0,
             owners: OwnerCache::new(idle),
-            openings: OpeningWatch::new(REPORT_MILLIS),
-            sent_to: HashMap::new(),
+            openings: PendingOpenings::new(REPORT_TIMEOUT_MILLIS),
+            opening_agents: HashMap::new(),
             suspects: HashMap::new(),
-            unreported: 0,
+            unreported_openings: 0,
             current: false,
-            was_current: false,
+            was_ever_current: false,
             parked: ParkedPackets::default(),
         }
     }
@@ -73,85 +76,88 @@
         &self.table
     }
 
-    /// Returns the routes in force, to replace them.
+    /// Returns the routes in force for an update.
     pub(crate) fn table_mut(&mut self) -> &mut ListenerTable {
         &mut self.table
     }
 
-    /// Replaces what is known of the targets.
+    /// Replaces the known targets.
     pub(crate) fn set_targets(&mut self, targets: KnownTargets) {
         self.targets = targets;
     }
 
-    /// Sets whether routes and targets are known to be current.
+    /// Sets whether routes and targets are current.
     pub(crate) fn set_current(&mut self, current: bool) {
         self.current = current;
-        self.was_current |= current;
+        self.was_ever_current |= current;
     }
 
-    /// Returns whether there are routes and targets to forward to.
+    /// Returns whether routes are in force and any target accepts new flows.
     pub(crate) fn is_ready(&self) -> bool {
         self.table.version() > 0
             && self
                 .targets
                 .services
                 .values()
-                .any(|targets| targets.open.len() > 0)
+                .any(|targets| targets.accepting.len() > 0)
     }
 
-    /// Returns whether a flow that every known target gave back is gone.
+    /// Returns whether a flow that no known target holds may be reset.
     pub(crate) fn can_end_flows(&self) -> bool {
-        self.targets.complete && (self.current || !self.was_current)
+        self.targets.complete && (self.current || !self.was_ever_current)
     }
 
-    /// Takes the packets that waited for what is known now, each with the time
-    /// that it was kept.
+    /// Removes and returns the parked packets, each with the time that it was
+    /// parked.
     pub(crate) fn take_parked(&mut self, now: ClockMillis) -> Vec<(SpanMillis, Vec<u8>)> {
-        self.parked.take_all(now)
+        self.parked.drain(now)
     }
 
-    /// Returns whether no agent answers: this balancer may be cut off from all
-    /// of them.
+    /// Returns whether no agent reports openings, so that this balancer may be cut
+    /// off from all of them.
     pub(crate) fn is_isolated(&self) -> bool {
-        self.unreported >= ISOLATED_OPENINGS
+        self.unreported_openings >= ISOLATION_THRESHOLD
     }
 
-    /// Returns the number of remembered flows.
+    /// Returns the number of flows in the owner cache.
     pub(crate) fn remembered(&self) -> usize {
         self.owners.len()
     }
 
-    /// Returns the agents that new flows avoid.
+    /// Returns the number of agents that new flows avoid.
     pub(crate) fn suspects(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Returns what is known of a flow.
-    pub(crate) fn find(&self, flow: FlowKey, now: ClockMillis) -> FlowFinding {
-        let choice = self.table.choose(flow.listener, flow.spread(), now);
+    /// Returns the state of a flow for inspection.
+    pub(crate) fn find(&self, flow: FlowKey, now: ClockMillis) -> BalancerFlowInfo {
+        let choice = self.table.choose(flow.listener, flow.stable_hash(), now);
         let ranked = choice.as_ref().map_or_else(Vec::new, |choice| {
-            let targets = self.targets.services.get(&choice.opens);
-            targets.map_or_else(Vec::new, |targets| targets.open.rank(flow, MAX_CANDIDATES))
+            let targets = self.targets.services.get(&choice.new_flow_service);
+            targets.map_or_else(Vec::new, |targets| {
+                targets.accepting.rank(flow, MAX_CANDIDATES)
+            })
         });
-        FlowFinding {
-            service: choice.map(|choice| choice.opens),
-            owner: self.owners.peek(flow).map(|owner| FoundOwner {
+        BalancerFlowInfo {
+            service: choice.map(|choice| choice.new_flow_service),
+            owner: self.owners.peek(flow).map(|owner| FlowOwnerInfo {
                 agent: owner.agent,
                 confirmed: owner.confirmed,
-                target: owner.target,
-                idle: now.since(owner.used_at),
-                gone: self.targets.has_ended(owner.agent, owner.target),
+                incarnation: owner.incarnation,
+                idle: now.since(owner.last_packet_at),
+                gone: self.targets.has_ended(owner.agent, owner.incarnation),
             }),
             ranked,
         }
     }
 
-    /// Returns how long an opening has waited for its report, if it does.
+    /// Returns how long a flow's opening has waited for its report, if it is
+    /// pending.
     pub(crate) fn opening_age(&self, flow: FlowKey, now: ClockMillis) -> Option<SpanMillis> {
         self.openings.age(flow, now)
     }
 
-    /// Takes a packet of a caller.
+    /// Decides what to do with a packet from a caller.
     pub(crate) fn take_packet(
         &mut self,
         packet: &FlowPacket,
@@ -159,14 +165,14 @@
         now: ClockMillis,
     ) -> FlowVerdict {
         let flow = packet.caller_flow();
-        let Some(choice) = self.table.choose(flow.listener, flow.spread(), now) else {
-            self.owners.forget(flow);
+        let Some(choice) = self.table.choose(flow.listener, flow.stable_hash(), now) else {
+            self.owners.remove(flow);
             return self.refuse(packet, bytes, RefusalCause::NoRoute, now);
         };
         if packet.opens() {
             return self.open_flow(packet, bytes, &choice, now);
         }
-        self.continue_flow(packet, bytes, &choice.holds, now)
+        self.continue_flow(packet, bytes, &choice.owner_services, now)
     }
 
     fn open_flow(
@@ -180,38 +186,44 @@
         let ranked = self
             .targets
             .services
-            .get(&choice.opens)
+            .get(&choice.new_flow_service)
             .map_or_else(Vec::new, |targets| {
-                targets.open.rank(flow, OPENING_CANDIDATES + 1)
+                targets.accepting.rank(flow, OPENING_CANDIDATES + 1)
             });
         self.suspects.retain(|_, until| *until > now);
-        // A copy follows the first packet while its agent is trusted.
-        let first = self
+        // A retransmitted opening goes to the agent of the first one, unless that
+        // agent is a suspect.
+        let previous = self
             .owners
-            .find(flow, now)
+            .get(flow, now)
             .map(|owner| owner.agent)
             .filter(|agent| ranked.contains(agent));
-        let (trusted, doubted): (Vec<Ipv4Addr>, Vec<Ipv4Addr>) = first
+        let (trusted, suspected): (Vec<Ipv4Addr>, Vec<Ipv4Addr>) = previous
             .into_iter()
-            .chain(ranked.iter().copied().filter(|agent| Some(*agent) != first))
+            .chain(
+                ranked
+                    .iter()
+                    .copied()
+                    .filter(|agent| Some(*agent) != previous),
+            )
             .partition(|agent| !self.suspects.contains_key(agent));
-        let mut order = trusted.into_iter().chain(doubted);
+        let mut order = trusted.into_iter().chain(suspected);
         let Some(to) = order.next() else {
             return self.refuse(packet, bytes, RefusalCause::NoTarget, now);
         };
-        let header = HopHeader::new(choice.opens, self.own)
+        let header = HopHeader::new(choice.new_flow_service, self.own_address)
             .with_urgency(choice.urgency)
             .with_age(packet.age)
             .with_candidates(order);
         self.owners.assume(flow, to, now);
-        if !self.openings.holds(flow) {
-            self.sent_to.insert(flow, to);
+        if !self.openings.contains(flow) {
+            self.opening_agents.insert(flow, to);
         }
-        self.openings.watch(WatchedOpening {
+        self.openings.insert(PendingOpening {
             flow,
             header,
             packet: bytes.to_vec(),
-            asked_at: now.before(packet.age),
+            first_sent_at: now.before(packet.age),
             sent_at: now,
         });
         FlowVerdict::Forward { to, header }
@@ -225,30 +237,30 @@
         now: ClockMillis,
     ) -> FlowVerdict {
         let flow = packet.caller_flow();
-        let owner = self.owners.find(flow, now);
+        let owner = self.owners.get(flow, now);
         if let Some(owner) = owner.filter(|owner| owner.confirmed)
-            && self.targets.has_ended(owner.agent, owner.target)
+            && self.targets.has_ended(owner.agent, owner.incarnation)
         {
-            self.owners.forget(flow);
+            self.owners.remove(flow);
             return FlowVerdict::Reset(FlowReset::answering(packet), RefusalCause::TargetGone);
         }
         if let Some(owner) = owner.filter(|owner| owner.confirmed)
-            && !self.targets.has_restarted(owner.agent, owner.target)
+            && !self.targets.has_restarted(owner.agent, owner.incarnation)
         {
             return FlowVerdict::Forward {
                 to: owner.agent,
-                header: HopHeader::new(services[0], self.own),
+                header: HopHeader::new(services[0], self.own_address),
             };
         }
-        let walk = FlowWalk {
+        let lookup = OwnerLookup {
             packet: bytes.to_vec(),
             reset: FlowReset::answering(packet),
-            asked: Vec::new(),
-            number: 0,
-            asked_at: now,
+            asked_agents: Vec::new(),
+            lookup_id: 0,
+            sent_at: now,
         };
-        let likely = owner.map(|owner| owner.agent);
-        let Some((to, header)) = self.walk_on(walk, services, likely, now) else {
+        let assumed_owner = owner.map(|owner| owner.agent);
+        let Some((to, header)) = self.send_lookup(lookup, services, assumed_owner, now) else {
             self.parked.park(flow, bytes, now);
             return FlowVerdict::Park(RefusalCause::NoTarget);
         };
@@ -256,48 +268,48 @@
         FlowVerdict::Forward { to, header }
     }
 
-    /// Takes an agent's news of a flow; returns what is to be sent for it.
+    /// Handles an agent's report on a flow; returns what to send in response.
     pub(crate) fn take_report(&mut self, report: &FlowReport, now: ClockMillis) -> ReportStep {
         self.suspects.remove(&report.agent);
-        self.unreported = 0;
-        self.openings.take(report.flow);
-        self.sent_to.remove(&report.flow);
+        self.unreported_openings = 0;
+        self.openings.remove(report.flow);
+        self.opening_agents.remove(&report.flow);
         match report.kind {
             ReportKind::Held => {
-                self.walks.end(report.flow);
-                self.parked.forget(report.flow);
+                self.lookups.remove(report.flow);
+                self.parked.remove(report.flow);
                 self.owners
-                    .confirm(report.flow, report.agent, report.target, now);
+                    .confirm(report.flow, report.agent, report.incarnation, now);
                 ReportStep::Nothing
             }
             ReportKind::Waiting => {
-                // Copies of the opening go where it waits.
+                // Retransmissions of the opening go to the agent that queued it.
                 self.owners.assume(report.flow, report.agent, now);
                 ReportStep::Nothing
             }
             ReportKind::NotHeld => {
-                self.owners.doubt(report.flow, report.agent);
-                self.continue_walk(report, now)
+                self.owners.invalidate(report.flow, report.agent);
+                self.continue_lookup(report, now)
             }
             ReportKind::Refused | ReportKind::Gone => {
-                self.walks.end(report.flow);
-                self.owners.forget(report.flow);
+                self.lookups.remove(report.flow);
+                self.owners.remove(report.flow);
                 ReportStep::Nothing
             }
         }
     }
 
-    /// Returns the openings that no agent reported, each with the agent that is
-    /// tried next; the silent agents are suspected.
+    /// Suspects the agents that left openings unreported. Returns those openings
+    /// that have a next candidate, each with that agent and the header for it.
     pub(crate) fn expire_openings(
         &mut self,
         now: ClockMillis,
     ) -> Vec<(FlowKey, Vec<u8>, Ipv4Addr, HopHeader)> {
         let mut resent = Vec::new();
         while let Some(mut opening) = self.openings.take_due(now) {
-            self.unreported = self.unreported.saturating_add(1);
-            if let Some(silent) = self.sent_to.remove(&opening.flow) {
-                self.suspects.insert(silent, now.after(SUSPECT_MILLIS));
+            self.unreported_openings = self.unreported_openings.saturating_add(1);
+            if let Some(silent) = self.opening_agents.remove(&opening.flow) {
+                self.suspects.insert(silent, now.after(SUSPICION_MILLIS));
             }
             let Some((to, header)) = opening.header.next_hop() else {
                 continue;
@@ -306,25 +318,27 @@
             resent.push((opening.flow, opening.packet.clone(), to, header));
             opening.header = header;
             opening.sent_at = now;
-            self.sent_to.insert(opening.flow, to);
-            self.openings.watch(opening);
+            self.opening_agents.insert(opening.flow, to);
+            self.openings.insert(opening);
         }
         resent
     }
 
-    /// Returns when an opening may next be overdue.
+    /// Returns when an opening may next time out.
     pub(crate) fn next_due(&self) -> Option<ClockMillis> {
         self.openings.next_due()
     }
 
-    /// Forgets idle flows.
+    /// Drops idle flows, lookups that timed out and parked packets that are too
+    /// old.
     pub(crate) fn sweep(&mut self, now: ClockMillis) {
         self.owners.sweep(now);
-        self.walks.sweep(now);
+        self.lookups.sweep(now);
         self.parked.sweep(now);
     }
 
-    /// Refuses a packet truthfully, or keeps it while that can't be known.
+    /// Resets a flow that can't be served, or parks its packet while routes and
+    /// targets may be outdated.
     fn refuse(
         &mut self,
         packet: &FlowPacket,
--- a/src/flow/flow_packet.rs
+++ b/src/flow/flow_packet.rs
@@ -3,29 +3,29 @@
 use super::FlowKey;
 use crate::clock::SpanMillis;
 
-/// What a packet does to its flow, one bit each.
+/// Flags of a packet, one bit each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct PacketSigns(u8);
 
 impl PacketSigns {
-    /// The packet opens the flow.
+    /// Opens the flow, as a SYN does.
     pub const OPEN: Self = Self(1);
-    /// The packet acknowledges bytes.
+    /// Acknowledges received bytes.
     pub const ACKNOWLEDGE: Self = Self(2);
-    /// The sender has nothing more to send.
+    /// The sender sends no more data.
     pub const FINISH: Self = Self(4);
-    /// The flow ends at once.
+    /// Ends the flow immediately.
     pub const RESET: Self = Self(8);
-    /// The target holds no such flow and gives the packet back.
+    /// The target does not accept the packet and returns it.
     pub const BOUNCED: Self = Self(16);
 
-    /// Returns these signs and those of `other`.
+    /// Returns the union of both sets of flags.
     #[must_use]
     pub const fn with(self, other: Self) -> Self {
         Self(self.0 | other.0)
     }
 
-    /// Returns whether every sign of `other` is set.
+    /// Returns whether every flag of `other` is set.
     #[must_use]
     pub const fn has(self, other: Self) -> bool {
         self.0 & other.0 == other.0
@@ -35,27 +35,27 @@
 /// The header of a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FlowPacket {
-    /// The end that sent it.
+    /// The sender's address and port.
     pub source: SocketAddrV4,
-    /// The end that it is for.
+    /// The receiver's address and port.
     pub destination: SocketAddrV4,
-    /// What it does to the flow.
+    /// The flags.
     pub signs: PacketSigns,
-    /// The place of its first byte.
+    /// The sequence number of its first data byte.
     pub sequence: u32,
-    /// The place up to which the sender has received.
+    /// The sequence number up to which the sender has received data.
     pub acknowledged: u32,
-    /// The bytes of data.
+    /// The number of data bytes.
     pub data_bytes: u16,
-    /// How long ago the caller sent an opening for the first time, as far as the
-    /// packet tells; zero for all other packets.
+    /// For an opening, the time since the caller first sent it as far as the packet
+    /// shows; zero for all other packets.
     pub age: SpanMillis,
-    /// What the system wrote into the packet on its way to the target.
+    /// The tag that the agent wrote into the packet on delivery to the target.
     pub tag: u32,
 }
 
 impl FlowPacket {
-    /// Returns the flow of a packet that a caller sent.
+    /// Returns the flow of a packet sent by a caller.
     #[must_use]
     pub const fn caller_flow(&self) -> FlowKey {
         FlowKey {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Returns the flow of a packet that a target sent.
+    /// Returns the flow of a packet sent by a target.
     #[must_use]
     pub const fn target_flow(&self) -> FlowKey {
         FlowKey {
@@ -73,24 +73,25 @@
         }
     }
 
-    /// Returns whether the packet asks for a new flow.
+    /// Returns whether the packet opens a new flow.
     #[must_use]
     pub const fn opens(&self) -> bool {
         self.signs.has(PacketSigns::OPEN) && !self.signs.has(PacketSigns::ACKNOWLEDGE)
     }
 }
 
-/// A reset that the system sends to a caller.
+/// A reset sent to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FlowReset {
-    /// The flow that ends.
+    /// The flow to end.
     pub flow: FlowKey,
-    /// The place that the caller acknowledged last; any while it opens the flow.
+    /// The sequence number that the caller acknowledged last; any value for an
+    /// opening.
     pub sequence: u32,
 }
 
 impl FlowReset {
-    /// Creates the reset that answers a caller's packet.
+    /// Creates the reset in response to a caller's packet.
     #[must_use]
     pub const fn answering(packet: &FlowPacket) -> Self {
         let sequence = if packet.opens() {
--- a/src/flow/flow_report.rs
+++ b/src/flow/flow_report.rs
@@ -5,32 +5,30 @@
 use super::FlowKey;
 use crate::key::IncarnationId;
 
-/// What an agent tells the balancer of a flow.
+/// What an agent reports about a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum ReportKind {
-    /// The target answered for the flow.
+    /// The target answers for the flow.
     Held,
-    /// The opening waits at this agent for a free slot of the target.
+    /// The opening is queued at this agent for a free slot of the target.
     Waiting,
-    /// The target does not hold the flow, and nobody else was to be tried.
+    /// The target does not hold the flow, and no candidate is left.
     NotHeld,
-    /// No candidate could take the flow; the caller was told.
+    /// No candidate could take the flow; the caller got a reset.
     Refused,
-    /// The flow is gone for good; the caller was told.
+    /// The flow is lost; the caller got a reset.
     Gone,
 }
 
-/// News of a flow from an agent to the balancer that sent its packet.
+/// A report on a flow from an agent to the balancer that sent its packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct FlowReport {
-    /// The flow.
     pub(crate) flow: FlowKey,
     /// The agent that reports.
     pub(crate) agent: Ipv4Addr,
-    /// The start of its target, if the target has announced itself.
-    pub(crate) target: Option<IncarnationId>,
-    /// The search that the packet belonged to, from its frame.
-    pub(crate) walk: u32,
-    /// What it knows.
+    /// The incarnation of its target, if the target has announced itself.
+    pub(crate) incarnation: Option<IncarnationId>,
+    /// The round of the owner lookup from the packet's frame, zero without one.
+    pub(crate) lookup_id: u32,
     pub(crate) kind: ReportKind,
 }
--- a/src/flow/flow_verdict.rs
+++ b/src/flow/flow_verdict.rs
@@ -1,10 +1,10 @@
-//! What a balancer decides on a packet or a report.
+//! Decisions of a balancer on a packet or a report.
 
 use std::net::Ipv4Addr;
 
 use super::{FlowReset, HopHeader};
 
-/// What a balancer does with a packet of a caller.
+/// What a balancer does with a caller's packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FlowVerdict {
     /// Send it to an agent.
@@ -14,39 +14,39 @@
         /// The frame's header.
         header: HopHeader,
     },
-    /// Answer with a reset: the flow can't be served.
+    /// Answer it with a reset: the flow can't be served.
     Reset(FlowReset, RefusalCause),
-    /// Keep it until more is known; it is decided on again then.
+    /// Hold it until routes and targets are known, then decide again.
     Park(RefusalCause),
 }
 
 /// Why a packet is not forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RefusalCause {
-    /// No route has its address and port.
+    /// No route has the packet's destination address and port.
     NoRoute,
-    /// No target of the route's service is known.
+    /// No target is known that could take the packet.
     NoTarget,
-    /// The routes or the targets are not known yet.
+    /// Routes or targets are not known yet or may be outdated.
     NotReady,
-    /// The target that held the flow is gone.
+    /// The incarnation of the target that held the flow has ended.
     TargetGone,
 }
 
-/// What is to be sent after an agent's report.
+/// What a balancer sends in response to an agent's report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum ReportStep {
     /// Nothing.
     Nothing,
-    /// The packet to the next agents that may hold the flow.
+    /// Send the packet to the next agents that may hold the flow.
     Forward {
         /// The packet.
         packet: Vec<u8>,
-        /// The first of the agents.
+        /// The first of these agents.
         to: Ipv4Addr,
         /// The frame's header.
         header: HopHeader,
     },
-    /// A reset: no target holds the flow.
+    /// Reset the flow: no target holds it.
     Reset(FlowReset),
 }
--- a/src/flow/hop_frame.rs
+++ b/src/flow/hop_frame.rs
@@ -7,26 +7,29 @@
 
 /// The first byte of a frame.
 const MAGIC: u8 = 0xCA;
-/// Magic, hops, candidates, rank, service, balancer, goal, timeout, walk and age.
+/// Length of the fixed part: magic, hops, candidate count, rank, service, balancer,
+/// goal, timeout, lookup id and age.
 const FIXED_BYTES: usize = 26;
-/// The most candidates that a frame carries.
+/// Maximum number of candidates in a frame.
 pub(crate) const MAX_CANDIDATES: usize = 8;
 
-/// What travels in front of a packet between balancer and agents.
+/// Header in front of a packet that is sent from a balancer to an agent or
+/// between agents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct HopHeader {
     /// The service whose targets may take the packet.
     pub(crate) service: ServiceTag,
-    /// The balancer that took the packet from the network; it gets reports.
+    /// The balancer that received the packet from the caller and gets the reports.
     pub(crate) balancer: Ipv4Addr,
-    /// The agents that have passed the packet on.
+    /// The number of times that the packet was passed on.
     pub(crate) hops: u8,
-    /// The balancer's number of its search for the flow's owner, zero if it does
-    /// not search; reports name it, since they may come late.
-    pub(crate) walk: u32,
-    /// How long ago the caller first sent the opening, when the balancer sent it.
+    /// The round of the owner lookup that the packet belongs to, zero without one.
+    /// Reports repeat it, so that late ones are recognised.
+    pub(crate) lookup_id: u32,
+    /// The time between the caller first sending the opening and the balancer
+    /// forwarding it.
     pub(crate) age: SpanMillis,
-    /// How pressing the route's requests are; in frames, times end at 65 s.
+    /// The urgency of the route's requests; frames cap its times at 65.535 s.
     pub(crate) urgency: RouteUrgency,
     candidates: [Ipv4Addr; MAX_CANDIDATES],
     count: u8,
@@ -39,7 +42,7 @@
             service,
             balancer,
             hops: 0,
-            walk: 0,
+            lookup_id: 0,
             age: SpanMillis::ZERO,
             urgency: RouteUrgency::default(),
             candidates: [Ipv4Addr::UNSPECIFIED; MAX_CANDIDATES],
@@ -47,26 +50,26 @@
         }
     }
 
-    /// Sets the search that the packet belongs to.
-    pub(crate) fn with_walk(mut self, walk: u32) -> Self {
-        self.walk = walk;
+    /// Sets the round of the owner lookup.
+    pub(crate) fn with_lookup_id(mut self, lookup_id: u32) -> Self {
+        self.lookup_id = lookup_id;
         self
     }
 
-    /// Sets how long ago the caller first sent the opening.
+    /// Sets the time since the caller first sent the opening.
     pub(crate) fn with_age(mut self, age: SpanMillis) -> Self {
         self.age = age;
         self
     }
 
-    /// Sets how pressing the route's requests are.
+    /// Sets the urgency of the route's requests.
     pub(crate) fn with_urgency(mut self, urgency: RouteUrgency) -> Self {
         self.urgency = urgency;
         self
     }
 
-    /// Sets who may take the packet next, in this order; those beyond the most
-    /// that a frame carries are left out.
+    /// Sets the agents to try next, in this order; those after the first
+    /// [`MAX_CANDIDATES`] are left out.
     pub(crate) fn with_candidates(mut self, agents: impl IntoIterator<Item = Ipv4Addr>) -> Self {
         self.count = 0;
         for agent in agents.into_iter().take(MAX_CANDIDATES) {
@@ -76,7 +79,7 @@
         self
     }
 
-    /// Returns who may take the packet next.
+    /// Returns the agents to try next.
     pub(crate) fn candidates(&self) -> &[Ipv4Addr] {
         &self.candidates[..usize::from(self.count)]
     }
@@ -89,16 +92,16 @@
         Some((*next, header))
     }
 
-    /// Writes the frame of `packet` into `out`, which is cleared before.
+    /// Replaces the contents of `out` by the frame of `packet`.
     pub(crate) fn encode(&self, packet: &[u8], out: &mut Vec<u8>) {
         out.clear();
         out.extend_from_slice(&[MAGIC, self.hops, self.count, self.urgency.rank]);
         out.extend_from_slice(&self.service.number().to_be_bytes());
         out.extend_from_slice(&self.balancer.octets());
-        out.extend_from_slice(&frame_span(self.urgency.goal));
-        out.extend_from_slice(&frame_span(self.urgency.timeout));
-        out.extend_from_slice(&self.walk.to_be_bytes());
-        out.extend_from_slice(&frame_span(self.age));
+        out.extend_from_slice(&encode_span(self.urgency.goal));
+        out.extend_from_slice(&encode_span(self.urgency.timeout));
+        out.extend_from_slice(&self.lookup_id.to_be_bytes());
+        out.extend_from_slice(&encode_span(self.age));
         for agent in self.candidates() {
             out.extend_from_slice(&agent.octets());
         }
@@ -106,33 +109,32 @@
     }
 }
 
-/// A frame as it was received.
+/// A received frame.
 #[derive(Debug)]
 pub(crate) struct HopFrame<'a> {
-    /// The header.
     pub(crate) header: HopHeader,
-    /// The packet as its sender wrote it.
+    /// The packet as its original sender wrote it.
     pub(crate) packet: &'a mut [u8],
 }
 
 impl<'a> HopFrame<'a> {
-    /// Reads a frame; returns `None` if the bytes are none.
+    /// Decodes a frame; returns `None` if the bytes are not a valid one.
     pub(crate) fn decode(bytes: &'a mut [u8]) -> Option<Self> {
         let (fixed, rest) = bytes.split_at_mut_checked(FIXED_BYTES)?;
         let [MAGIC, hops, count, rank, ..] = *fixed else {
             return None;
         };
-        let listed = usize::from(count);
-        if listed > MAX_CANDIDATES {
+        let candidate_count = usize::from(count);
+        if candidate_count > MAX_CANDIDATES {
             return None;
         }
-        let (list, packet) = rest.split_at_mut_checked(listed * 4)?;
+        let (list, packet) = rest.split_at_mut_checked(candidate_count * 4)?;
         let service = u64::from_be_bytes(fixed[4..12].try_into().ok()?);
         let balancer: [u8; 4] = fixed[12..16].try_into().ok()?;
-        let span_at = |place: usize| {
-            SpanMillis::new(u16::from_be_bytes([fixed[place], fixed[place + 1]]).into())
+        let span_at = |offset: usize| {
+            SpanMillis::new(u16::from_be_bytes([fixed[offset], fixed[offset + 1]]).into())
         };
-        let walk = u32::from_be_bytes(fixed[20..24].try_into().ok()?);
+        let lookup_id = u32::from_be_bytes(fixed[20..24].try_into().ok()?);
         let urgency = RouteUrgency {
             rank,
             goal: span_at(16),
@@ -143,7 +145,7 @@
             .map(|octets| Ipv4Addr::new(octets[0], octets[1], octets[2], octets[3]));
         let mut header = HopHeader::new(ServiceTag::from_number(service), balancer.into())
             .with_urgency(urgency)
-            .with_walk(walk)
+            .with_lookup_id(lookup_id)
             .with_age(span_at(24))
             .with_candidates(agents);
         header.hops = hops;
@@ -151,7 +153,8 @@
     }
 }
 
-fn frame_span(span: SpanMillis) -> [u8; 2] {
+/// Encodes a span as milliseconds, capped at 65.535 s.
+fn encode_span(span: SpanMillis) -> [u8; 2] {
     u16::try_from(span.millis())
         .unwrap_or(u16::MAX)
         .to_be_bytes()
--- a/src/flow/known_targets.rs
+++ b/src/flow/known_targets.rs
@@ -3,47 +3,52 @@
 use super::TargetRanking;
 use crate::{key::IncarnationId, listener::ServiceTag};
 
-/// The targets of a service.
+/// The targets of one service.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ServiceTargets {
-    /// Those that take new flows.
-    pub(crate) open: TargetRanking,
-    /// Those that may hold flows.
-    pub(crate) hold: TargetRanking,
+    /// Targets that accept new flows.
+    pub(crate) accepting: TargetRanking,
+    /// Targets that may hold open flows.
+    pub(crate) possible_owners: TargetRanking,
 }
 
-/// The start of the target beside an agent.
+/// The last known incarnation of the target next to an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct TargetStart {
-    /// Which start it is, if the target has announced itself.
-    pub(crate) target: Option<IncarnationId>,
-    /// Whether the target has ended and holds nothing.
+pub(crate) struct TargetIncarnation {
+    /// Its id, if the target has announced itself.
+    pub(crate) id: Option<IncarnationId>,
+    /// Whether it has ended and holds no flows.
     pub(crate) ended: bool,
 }
 
-/// What a balancer knows of all targets.
+/// All targets that a balancer knows.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct KnownTargets {
     /// The targets by service.
     pub(crate) services: HashMap<ServiceTag, ServiceTargets>,
-    /// The start of each target, by agent.
-    pub(crate) starts: HashMap<Ipv4Addr, TargetStart>,
-    /// Whether no running target is missing.
+    /// The incarnation of each target, by agent.
+    pub(crate) incarnations: HashMap<Ipv4Addr, TargetIncarnation>,
+    /// Whether every running target is included.
     pub(crate) complete: bool,
 }
 
 impl KnownTargets {
-    /// Returns whether the start of a target that held a flow has ended.
-    pub(crate) fn has_ended(&self, agent: Ipv4Addr, target: Option<IncarnationId>) -> bool {
-        let start = self.starts.get(&agent);
-        target.is_some() && start.is_some_and(|start| start.ended && start.target == target)
+    /// Returns whether the incarnation of a target that held a flow has ended.
+    pub(crate) fn has_ended(&self, agent: Ipv4Addr, incarnation: Option<IncarnationId>) -> bool {
+        let current = self.incarnations.get(&agent);
+        incarnation.is_some()
+            && current.is_some_and(|current| current.ended && current.id == incarnation)
     }
 
-    /// Returns whether an agent's target has started again since it was reported
-    /// as `target`. A flow of that time may be on either start: the agent may
-    /// have reported it before it heard of the newer one.
-    pub(crate) fn has_restarted(&self, agent: Ipv4Addr, target: Option<IncarnationId>) -> bool {
-        let current = self.starts.get(&agent).and_then(|start| start.target);
-        current.is_some() && target.is_some() && current != target
+    /// Returns whether an agent's target has restarted since it was reported as
+    /// `incarnation`. A flow reported then may be on either incarnation, since the
+    /// agent may not have known the newer one yet.
+    pub(crate) fn has_restarted(
+        &self,
+        agent: Ipv4Addr,
+        incarnation: Option<IncarnationId>,
+    ) -> bool {
+        let current = self.incarnations.get(&agent).and_then(|current| current.id);
+        current.is_some() && incarnation.is_some() && current != incarnation
     }
 }
--- a/src/flow/opening_queue.rs
+++ b/src/flow/opening_queue.rs
@@ -1,93 +1,99 @@
 use std::cmp::Reverse;
 
-use super::{FlowKey, opening_watch::WatchedOpening};
+use super::{FlowKey, pending_openings::PendingOpening};
 use crate::clock::{ClockMillis, SpanMillis};
 
-/// The most openings that wait at an agent.
-const MAX_WAITING: usize = 256;
-/// The longest that an opening waits: callers give one up after 1.4 s.
-const LONGEST_WAIT_MILLIS: SpanMillis = SpanMillis::new(1_000);
-/// The share of a route's timeout that an opening may wait, one in so many, so
-/// that a refused caller has time to try again.
-const TIMEOUT_PARTS: u64 = 3;
-/// The share of a route's goal, one in so many, within which a request that
-/// begins is likely to be answered in time.
-const GOAL_PARTS: u64 = 2;
+/// Maximum number of openings queued at an agent.
+const MAX_QUEUED_OPENINGS: usize = 256;
+/// Maximum time that an opening waits; callers give up on one after 1.4 s.
+const MAX_WAIT_MILLIS: SpanMillis = SpanMillis::new(1_000);
+/// An opening may wait for a third of its route's timeout, so that a refused
+/// caller has time to retry.
+const TIMEOUT_WAIT_DIVISOR: u64 = 3;
+/// A request that starts within half of its route's latency goal is likely to
+/// meet the goal.
+const GOAL_AGE_DIVISOR: u64 = 2;
 
 /// Openings that wait for a free slot of the target.
 ///
-/// The target takes first what can still be answered in time: by rank, and the
-/// newest first, since in an overload the oldest would be late anyway and would
-/// make those behind it late as well.
+/// Openings that can still meet their latency goal go first, by rank and then
+/// newest first: in an overload the oldest ones miss their goal anyway and would
+/// delay those behind them beyond theirs.
 #[derive(Debug, Default)]
 pub(crate) struct OpeningQueue {
-    waiting: Vec<WatchedOpening>,
+    openings: Vec<PendingOpening>,
 }
 
 impl OpeningQueue {
-    /// Adds an opening; returns the one whose turn would come last, if more wait
-    /// than the target can begin before their timeout, as told by `servable`.
+    /// Adds an opening. Returns the one that would go last if more are queued than
+    /// `capacity`, the number that the target can start before their timeout.
     pub(crate) fn push(
         &mut self,
-        opening: WatchedOpening,
-        servable: Option<usize>,
+        opening: PendingOpening,
+        capacity: Option<usize>,
         now: ClockMillis,
-    ) -> Option<WatchedOpening> {
-        self.waiting.push(opening);
-        let most = servable.map_or(MAX_WAITING, |servable| servable.min(MAX_WAITING));
-        if self.waiting.len() <= most {
+    ) -> Option<PendingOpening> {
+        self.openings.push(opening);
+        let limit = capacity.map_or(MAX_QUEUED_OPENINGS, |capacity| {
+            capacity.min(MAX_QUEUED_OPENINGS)
+        });
+        if self.openings.len() <= limit {
             return None;
         }
-        let waiting = self.waiting.iter().enumerate();
-        let last = waiting.max_by_key(|(_, opening)| turn_of(opening, now))?.0;
-        Some(self.waiting.swap_remove(last))
+        let openings = self.openings.iter().enumerate();
+        let last = openings
+            .max_by_key(|(_, opening)| priority_key(opening, now))?
+            .0;
+        Some(self.openings.swap_remove(last))
     }
 
-    /// Returns whether an opening of the flow waits.
-    pub(crate) fn holds(&self, flow: FlowKey) -> bool {
-        self.waiting.iter().any(|opening| opening.flow == flow)
+    /// Returns whether an opening of the flow is queued.
+    pub(crate) fn contains(&self, flow: FlowKey) -> bool {
+        self.openings.iter().any(|opening| opening.flow == flow)
     }
 
-    /// Returns the number of openings that wait.
+    /// Returns the number of queued openings.
     pub(crate) fn len(&self) -> usize {
-        self.waiting.len()
+        self.openings.len()
     }
 
-    /// Takes the opening that the target should get next.
-    pub(crate) fn take_next(&mut self, now: ClockMillis) -> Option<WatchedOpening> {
-        let waiting = self.waiting.iter().enumerate();
-        let place = waiting.min_by_key(|(_, opening)| turn_of(opening, now))?.0;
-        Some(self.waiting.swap_remove(place))
+    /// Removes and returns the opening that goes next.
+    pub(crate) fn take_next(&mut self, now: ClockMillis) -> Option<PendingOpening> {
+        let openings = self.openings.iter().enumerate();
+        let index = openings
+            .min_by_key(|(_, opening)| priority_key(opening, now))?
+            .0;
+        Some(self.openings.swap_remove(index))
     }
 
-    /// Takes an opening that has waited too long.
-    pub(crate) fn take_lapsed(&mut self, now: ClockMillis) -> Option<WatchedOpening> {
-        let mut waiting = self.waiting.iter();
-        let place = waiting.position(|opening| lapse_of(opening) <= now)?;
-        Some(self.waiting.swap_remove(place))
+    /// Removes and returns an opening that has waited too long.
+    pub(crate) fn take_expired(&mut self, now: ClockMillis) -> Option<PendingOpening> {
+        let mut openings = self.openings.iter();
+        let index = openings.position(|opening| wait_deadline(opening) <= now)?;
+        Some(self.openings.swap_remove(index))
     }
 
-    /// Takes any opening, to refuse it.
-    pub(crate) fn take_any(&mut self) -> Option<WatchedOpening> {
-        self.waiting.pop()
+    /// Removes and returns any opening, to refuse it.
+    pub(crate) fn take_any(&mut self) -> Option<PendingOpening> {
+        self.openings.pop()
     }
 
-    /// Returns when the next opening will have waited too long.
-    pub(crate) fn next_lapse(&self) -> Option<ClockMillis> {
-        self.waiting.iter().map(lapse_of).min()
+    /// Returns the earliest wait deadline of the queued openings.
+    pub(crate) fn next_expiry(&self) -> Option<ClockMillis> {
+        self.openings.iter().map(wait_deadline).min()
     }
 }
 
-fn lapse_of(opening: &WatchedOpening) -> ClockMillis {
+fn wait_deadline(opening: &PendingOpening) -> ClockMillis {
     let timeout = opening.header.urgency.timeout.millis();
-    let longest = SpanMillis::new(timeout / TIMEOUT_PARTS).min(LONGEST_WAIT_MILLIS);
-    opening.sent_at.after(longest)
+    let max_wait = SpanMillis::new(timeout / TIMEOUT_WAIT_DIVISOR).min(MAX_WAIT_MILLIS);
+    opening.sent_at.after(max_wait)
 }
 
-/// Returns the key by which openings get their turn; the least goes first.
-fn turn_of(opening: &WatchedOpening, now: ClockMillis) -> (bool, u8, Reverse<ClockMillis>) {
+/// Returns the sort key of an opening; the lowest goes first.
+fn priority_key(opening: &PendingOpening, now: ClockMillis) -> (bool, u8, Reverse<ClockMillis>) {
     let urgency = opening.header.urgency;
-    let age = now.since(opening.asked_at);
-    let late = age.times(GOAL_PARTS) > urgency.goal;
-    (late, urgency.rank, Reverse(opening.asked_at))
+    let age = now.since(opening.first_sent_at);
+    let late = age.times(GOAL_AGE_DIVISOR) > urgency.goal;
+    (late, urgency.rank, Reverse(opening.first_sent_at))
 }
--- a/src/flow/owner_cache.rs
+++ b/src/flow/owner_cache.rs
@@ -9,23 +9,22 @@
     key::IncarnationId,
 };
 
-/// The most flows that a balancer remembers; beyond, unused ones are dropped.
-const MAX_FLOWS: usize = 65_536;
+/// Maximum number of cached flows; a full cache first drops idle flows, then all.
+const MAX_OWNERS: usize = 65_536;
 
-/// Who holds a flow, as far as a balancer knows.
+/// The owner of a flow as known to a balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct FlowOwner {
     /// The agent beside the flow's target.
     pub(crate) agent: Ipv4Addr,
-    /// Whether that agent has said so.
+    /// Whether that agent reported that it holds the flow.
     pub(crate) confirmed: bool,
-    /// The start of the target that holds the flow, if the agent knew it.
-    pub(crate) target: Option<IncarnationId>,
-    /// When a packet of the flow was last seen.
-    pub(crate) used_at: ClockMillis,
+    /// The incarnation of the target, if the agent knew it.
+    pub(crate) incarnation: Option<IncarnationId>,
+    pub(crate) last_packet_at: ClockMillis,
 }
 
-/// Remembers the owners of flows to save hops; it may be lost at any time.
+/// Cache of flow owners. It only saves hops: any entry may be lost at any time.
 #[derive(Debug)]
 pub(crate) struct OwnerCache {
     owners: HashMap<FlowKey, FlowOwner>,
@@ -33,7 +32,7 @@
 }
 
 impl OwnerCache {
-    /// Creates a cache that forgets flows without a packet for `idle`.
+    /// Creates a cache that drops flows without a packet for `idle`.
     pub(crate) fn new(idle: SpanMillis) -> Self {
         Self {
             owners: HashMap::new(),
@@ -41,26 +40,26 @@
         }
     }
 
-    /// Returns the owner of a flow and notes that it is in use.
-    pub(crate) fn find(&mut self, flow: FlowKey, now: ClockMillis) -> Option<FlowOwner> {
+    /// Returns the owner of a flow and marks the flow as used.
+    pub(crate) fn get(&mut self, flow: FlowKey, now: ClockMillis) -> Option<FlowOwner> {
         let owner = self.owners.get_mut(&flow)?;
-        owner.used_at = now;
+        owner.last_packet_at = now;
         Some(*owner)
     }
 
-    /// Returns the owner of a flow without noting a use.
+    /// Returns the owner of a flow without marking the flow as used.
     pub(crate) fn peek(&self, flow: FlowKey) -> Option<&FlowOwner> {
         self.owners.get(&flow)
     }
 
-    /// Notes where a flow was sent; a confirmed owner stays.
+    /// Records where a flow was sent, unless its owner is confirmed.
     pub(crate) fn assume(&mut self, flow: FlowKey, agent: Ipv4Addr, now: ClockMillis) {
-        self.make_room(now);
+        self.evict_if_full(now);
         let assumed = FlowOwner {
             agent,
             confirmed: false,
-            target: None,
-            used_at: now,
+            incarnation: None,
+            last_packet_at: now,
         };
         match self.owners.entry(flow) {
             Entry::Occupied(mut entry) if !entry.get().confirmed => {
@@ -73,42 +72,43 @@
         }
     }
 
-    /// Notes that an agent holds a flow.
+    /// Records that an agent reported to hold a flow.
     pub(crate) fn confirm(
         &mut self,
         flow: FlowKey,
         agent: Ipv4Addr,
-        target: Option<IncarnationId>,
+        incarnation: Option<IncarnationId>,
         now: ClockMillis,
     ) {
-        self.make_room(now);
+        self.evict_if_full(now);
         let owner = FlowOwner {
             agent,
             confirmed: true,
-            target,
-            used_at: now,
+            incarnation,
+            last_packet_at: now,
         };
         self.owners.insert(flow, owner);
     }
 
-    /// Forgets a flow unless another agent than `agent` has said that it holds it.
-    pub(crate) fn doubt(&mut self, flow: FlowKey, agent: Ipv4Addr) {
-        let stays = |owner: &FlowOwner| owner.confirmed && owner.agent != agent;
-        if !self.owners.get(&flow).is_some_and(stays) {
+    /// Removes a flow that `agent` does not hold, unless another agent is its
+    /// confirmed owner.
+    pub(crate) fn invalidate(&mut self, flow: FlowKey, agent: Ipv4Addr) {
+        let is_held_elsewhere = |owner: &FlowOwner| owner.confirmed && owner.agent != agent;
+        if !self.owners.get(&flow).is_some_and(is_held_elsewhere) {
             self.owners.remove(&flow);
         }
     }
 
-    /// Forgets a flow.
-    pub(crate) fn forget(&mut self, flow: FlowKey) {
+    /// Removes a flow.
+    pub(crate) fn remove(&mut self, flow: FlowKey) {
         self.owners.remove(&flow);
     }
 
-    /// Forgets the flows that are idle.
+    /// Drops idle flows.
     pub(crate) fn sweep(&mut self, now: ClockMillis) {
         let idle = self.idle;
         self.owners
-            .retain(|_, owner| now.since(owner.used_at) < idle);
+            .retain(|_, owner| now.since(owner.last_packet_at) < idle);
     }
 
     /// Returns the number of flows.
@@ -116,13 +116,13 @@
         self.owners.len()
     }
 
-    fn make_room(&mut self, now: ClockMillis) {
-        if self.owners.len() < MAX_FLOWS {
+    fn evict_if_full(&mut self, now: ClockMillis) {
+        if self.owners.len() < MAX_OWNERS {
             return;
         }
         self.sweep(now);
-        if self.owners.len() >= MAX_FLOWS {
-            // Any flow can be found again by the ranking.
+        if self.owners.len() >= MAX_OWNERS {
+            // A lookup finds any flow again by its ranking.
             self.owners.clear();
         }
     }
--- a/src/flow/packet_codec.rs
+++ b/src/flow/packet_codec.rs
@@ -4,41 +4,41 @@
 
 use super::{FlowPacket, FlowReset};
 
-/// Why a datagram is no packet.
+/// Why a datagram can't be decoded as a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum PacketFault {
-    /// It is shorter than a header.
-    #[error("{bytes} bytes are no packet")]
+    /// The datagram is shorter than a header.
+    #[error("a datagram of {bytes} bytes is shorter than a packet header")]
     Short {
-        /// The datagram's bytes.
+        /// The length of the datagram in bytes.
         bytes: usize,
     },
-    /// The header names another length of data than follows.
-    #[error("the header names {named} bytes of data, {found} follow")]
+    /// The header declares another length of data than follows.
+    #[error("the header declares {named} bytes of data, but {found} follow")]
     Length {
-        /// The length in the header.
+        /// The data length that the header declares, in bytes.
         named: usize,
-        /// The bytes behind the header.
+        /// The number of bytes after the header.
         found: usize,
     },
 }
 
-/// How the packets of a deployment are written; the edge to its wire format.
+/// Reads and writes the packet format of a deployment.
 pub trait PacketCodec: Debug + Send + Sync + 'static {
-    /// Reads the header of a packet.
+    /// Decodes the header of a packet.
     ///
     /// # Errors
     ///
-    /// Fails when the bytes are no packet.
+    /// Fails when the bytes are not a valid packet.
     fn decode(&self, bytes: &[u8]) -> Result<FlowPacket, PacketFault>;
 
-    /// Returns the data of a packet that was decoded.
+    /// Returns the data of a packet that was decoded successfully.
     fn data<'a>(&self, bytes: &'a [u8]) -> &'a [u8];
 
-    /// Prepares a packet for a target: sets the tag and clears the mark of a
-    /// bounce. The bytes are those of a packet that was decoded.
+    /// Prepares a packet for delivery to a target: sets the tag and clears the
+    /// bounced flag. The packet must have been decoded successfully.
     fn prepare(&self, bytes: &mut [u8], tag: u32);
 
-    /// Returns the bytes of a reset.
+    /// Encodes a reset as a packet.
     fn encode_reset(&self, reset: &FlowReset) -> Vec<u8>;
 }
--- a/src/flow/request_mark.rs
+++ b/src/flow/request_id.rs
@@ -1,14 +1,12 @@
 use std::str;
 
-/// The header that carries a request's id, in lower case.
+/// The request header with the id, in lower case.
 const ID_HEADER: &[u8] = b"\r\nx-request-id:";
-/// The most bytes of an id that are read.
+/// Maximum length of an id in bytes.
 const MAX_ID_BYTES: usize = 64;
 
-/// Returns the id of the request whose head begins in `data`, for log lines.
-///
-/// A flow's bytes belong to its two ends: they are looked at, never changed,
-/// and no decision depends on them.
+/// Returns the id of the HTTP request that starts in `data`, for log lines only:
+/// the payload of a flow is never changed, and no decision depends on it.
 pub(crate) fn request_id(data: &[u8]) -> Option<&str> {
     let starts_request = data.first().is_some_and(u8::is_ascii_uppercase);
     if !starts_request {
--- a/src/flow/target_health.rs
+++ b/src/flow/target_health.rs
@@ -1,38 +1,41 @@
 use crate::clock::{ClockMillis, SpanMillis};
 
-/// Whether a target answers, as its agent sees it without asking.
+/// Whether a target answers, derived from its packets without probing it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct TargetHealth {
-    heard_at: Option<ClockMillis>,
+    last_heard_at: Option<ClockMillis>,
     suspect: bool,
 }
 
 impl TargetHealth {
-    /// Notes that the target sent something.
+    /// Records that the target sent something; clears the suspicion.
     ///
-    /// Returns whether it had been suspected.
-    pub(crate) fn hear(&mut self, now: ClockMillis) -> bool {
-        self.heard_at = Some(now);
+    /// Returns whether the target was suspected before.
+    pub(crate) fn record_activity(&mut self, now: ClockMillis) -> bool {
+        self.last_heard_at = Some(now);
         std::mem::take(&mut self.suspect)
     }
 
-    /// Notes that an opening that was sent at `sent_at` got no answer; the
-    /// target is suspected if it has sent nothing else since.
+    /// Records that an opening sent at `sent_at` got no answer. The target is
+    /// suspected if it has sent nothing since then.
     ///
-    /// Returns whether it was not suspected before.
-    pub(crate) fn miss(&mut self, sent_at: ClockMillis) -> bool {
-        let silent = self.heard_at.is_none_or(|heard_at| heard_at <= sent_at);
-        let fresh = silent && !self.suspect;
+    /// Returns whether the suspicion is new.
+    pub(crate) fn record_unanswered(&mut self, sent_at: ClockMillis) -> bool {
+        let silent = self
+            .last_heard_at
+            .is_none_or(|last_heard_at| last_heard_at <= sent_at);
+        let newly_suspected = silent && !self.suspect;
         self.suspect |= silent;
-        fresh
+        newly_suspected
     }
 
-    /// Returns how long the target has sent nothing, `None` if it never did.
+    /// Returns the time since the target last sent anything, `None` if it never did.
     pub(crate) fn silence(&self, now: ClockMillis) -> Option<SpanMillis> {
-        self.heard_at.map(|heard_at| now.since(heard_at))
+        self.last_heard_at
+            .map(|last_heard_at| now.since(last_heard_at))
     }
 
-    /// Returns whether the target is suspected to be unable to answer.
+    /// Returns whether the target is suspected of not answering.
     pub(crate) fn is_suspect(&self) -> bool {
         self.suspect
     }
--- a/src/flow/target_load.rs
+++ b/src/flow/target_load.rs
@@ -3,120 +3,128 @@
 use super::FlowKey;
 use crate::clock::{ClockMillis, SpanMillis};
 
-/// How long a new flow's place is kept for its first request: some round trips
-/// between caller and target.
-const RESERVED_MILLIS: SpanMillis = SpanMillis::new(30);
-/// How long a request without an answer counts as worked on; callers give up
-/// after some seconds without a word.
-const WORKED_MILLIS: SpanMillis = SpanMillis::new(3_000);
-/// The weight of one answer in the average, one in so many: some answers of each
-/// slot.
-const AVERAGE_PARTS: u64 = 8;
+/// How long a new flow reserves capacity for its first request: a few round
+/// trips between caller and target.
+const RESERVATION_MILLIS: SpanMillis = SpanMillis::new(30);
+/// How long an unanswered request counts as in flight; callers give up after
+/// a few seconds without an answer.
+const REQUEST_EXPIRY_MILLIS: SpanMillis = SpanMillis::new(3_000);
+/// Each answer has a weight of one eighth in the moving average, which so covers
+/// a few answers of each slot.
+const AVERAGE_DIVISOR: u64 = 8;
 
-/// A flow's place at the target.
+/// A request at the target, or capacity reserved for one.
 #[derive(Debug, Clone, Copy)]
-struct BusyPlace {
-    /// When its request was handed over, if it was.
-    begun_at: Option<ClockMillis>,
-    /// Until when it counts without an answer.
-    until: ClockMillis,
+struct InFlightRequest {
+    /// When the request was delivered; `None` for a reservation.
+    started_at: Option<ClockMillis>,
+    /// When it stops counting without an answer.
+    expires_at: ClockMillis,
 }
 
-/// The requests that a target works on, as its agent sees them pass.
+/// Requests in flight at a target, counted by its agent from the packets it sees.
 ///
-/// A target that works on more requests than it has slots queues the others, and
+/// A target that gets more requests than it has slots queues the others and
 /// answers all of them late.
 #[derive(Debug, Default)]
 pub(crate) struct TargetLoad {
-    /// How many requests the target works on at a time, once it has said so.
+    /// How many requests the target processes concurrently, if it announced that.
     slots: Option<u32>,
-    /// The flows with a request at the target or about to have one.
-    busy: HashMap<FlowKey, BusyPlace>,
-    /// How long requests are at the target on average, in units of
-    /// `1 / AVERAGE_PARTS` ms; zero before the first answer.
-    average: u64,
+    /// Flows with a request at the target or with reserved capacity.
+    in_flight: HashMap<FlowKey, InFlightRequest>,
+    /// Moving average of the time from delivery to answer, in units of
+    /// `1 / AVERAGE_DIVISOR` ms; zero before the first answer.
+    scaled_average: u64,
 }
 
 impl TargetLoad {
-    /// Sets how many requests the target works on at a time.
+    /// Sets how many requests the target processes concurrently; zero counts as unknown.
     pub(crate) fn set_slots(&mut self, slots: Option<u32>) {
         self.slots = slots.filter(|slots| *slots > 0);
     }
 
-    /// Keeps a place for the first request of a flow that is being opened.
+    /// Reserves capacity for the first request of a flow that is being opened.
     pub(crate) fn reserve(&mut self, flow: FlowKey, now: ClockMillis) {
-        let place = BusyPlace {
-            begun_at: None,
-            until: now.after(RESERVED_MILLIS),
+        let request = InFlightRequest {
+            started_at: None,
+            expires_at: now.after(RESERVATION_MILLIS),
         };
-        self.busy.insert(flow, place);
+        self.in_flight.insert(flow, request);
     }
 
-    /// Notes that a request was handed to the target.
-    pub(crate) fn begin(&mut self, flow: FlowKey, now: ClockMillis) {
-        let place = BusyPlace {
-            begun_at: Some(now),
-            until: now.after(WORKED_MILLIS),
+    /// Records that a request was delivered to the target.
+    pub(crate) fn start(&mut self, flow: FlowKey, now: ClockMillis) {
+        let request = InFlightRequest {
+            started_at: Some(now),
+            expires_at: now.after(REQUEST_EXPIRY_MILLIS),
         };
-        self.busy.insert(flow, place);
+        self.in_flight.insert(flow, request);
     }
 
-    /// Notes that a flow's request was answered.
+    /// Records the answer to a flow's request.
     pub(crate) fn finish(&mut self, flow: FlowKey, now: ClockMillis) {
-        let Some(begun_at) = self.busy.remove(&flow).and_then(|place| place.begun_at) else {
+        let Some(started_at) = self
+            .in_flight
+            .remove(&flow)
+            .and_then(|request| request.started_at)
+        else {
             return;
         };
-        let spent = now.since(begun_at).millis();
-        self.average = match self.average {
-            0 => spent * AVERAGE_PARTS,
-            average => average - average / AVERAGE_PARTS + spent,
+        let elapsed = now.since(started_at).millis();
+        self.scaled_average = match self.scaled_average {
+            0 => elapsed * AVERAGE_DIVISOR,
+            scaled_average => scaled_average - scaled_average / AVERAGE_DIVISOR + elapsed,
         };
     }
 
-    /// Notes that a flow's request was not taken, or that the flow has ended.
+    /// Removes a flow's request after a bounce, a timeout or a reset.
     pub(crate) fn cancel(&mut self, flow: FlowKey) {
-        self.busy.remove(&flow);
+        self.in_flight.remove(&flow);
     }
 
-    /// Forgets everything: the target has started again.
+    /// Removes all requests after the target ended or restarted.
     pub(crate) fn clear(&mut self) {
-        self.busy.clear();
+        self.in_flight.clear();
     }
 
-    /// Returns the number of requests at the target.
+    /// Returns the number of requests in flight, with reservations.
     pub(crate) fn busy(&self) -> usize {
-        self.busy.len()
+        self.in_flight.len()
     }
 
-    /// Returns whether another flow's request would be worked on soon.
+    /// Returns whether the target would start another flow's request soon.
     ///
-    /// Half as many requests as slots may wait at the target, so that a slot that
-    /// gets free is taken while the next caller's first packets travel.
-    pub(crate) fn has_room(&mut self, now: ClockMillis) -> bool {
-        let Some(most) = self.most() else {
+    /// Half as many requests as slots may queue at the target, so that a freed
+    /// slot has work while the next caller's first packets are under way.
+    pub(crate) fn has_capacity(&mut self, now: ClockMillis) -> bool {
+        let Some(limit) = self.max_in_flight() else {
             return true;
         };
-        if self.busy.len() >= most {
-            self.busy.retain(|_, place| place.until > now);
+        if self.in_flight.len() >= limit {
+            self.in_flight.retain(|_, request| request.expires_at > now);
         }
-        self.busy.len() < most
+        self.in_flight.len() < limit
     }
 
-    /// Returns when the next place may get free without a word of the target.
-    pub(crate) fn next_lapse(&self) -> Option<ClockMillis> {
-        self.busy.values().map(|place| place.until).min()
+    /// Returns when the next unanswered request or reservation expires.
+    pub(crate) fn next_expiry(&self) -> Option<ClockMillis> {
+        self.in_flight
+            .values()
+            .map(|request| request.expires_at)
+            .min()
     }
 
-    /// Returns how many more requests the target can begin within `span` at the
-    /// speed of its last answers, `None` if that is not known.
-    pub(crate) fn begins_within(&self, span: SpanMillis) -> Option<usize> {
-        let most = self.most()? as u64;
-        let begun = (most * span.millis() * AVERAGE_PARTS).checked_div(self.average)?;
-        usize::try_from(begun).ok()
+    /// Returns how many requests the target can start within `span` at the rate
+    /// of its recent answers, `None` if that rate or the slots are unknown.
+    pub(crate) fn capacity_within(&self, span: SpanMillis) -> Option<usize> {
+        let limit = self.max_in_flight()? as u64;
+        let startable =
+            (limit * span.millis() * AVERAGE_DIVISOR).checked_div(self.scaled_average)?;
+        usize::try_from(startable).ok()
     }
 
-    /// Returns the requests that may be at the target.
-    fn most(&self) -> Option<usize> {
+    /// Returns how many requests may be in flight: the slots and half as many more.
+    fn max_in_flight(&self) -> Option<usize> {
         let slots = self.slots?;
         Some(slots.saturating_add(slots.div_ceil(2)) as usize)
     }
--- a/src/flow/tests/balancer_verdicts.rs
+++ b/src/flow/tests/balancer_verdicts.rs
@@ -5,7 +5,7 @@
     clock::{ClockMillis, SpanMillis},
     flow::{
         BalancerFlows, FlowReport, FlowVerdict, HopHeader, KnownTargets, PacketSigns, RankedTarget,
-        RefusalCause, ReportKind, ReportStep, ServiceTargets, TargetRanking, TargetStart,
+        RefusalCause, ReportKind, ReportStep, ServiceTargets, TargetIncarnation, TargetRanking,
     },
     key::IncarnationId,
     listener::{
@@ -37,7 +37,7 @@
     }
 }
 
-pub(super) fn targets(open: &[u8], hold: &[u8]) -> ServiceTargets {
+pub(super) fn targets(accepting: &[u8], possible_owners: &[u8]) -> ServiceTargets {
     let ranking = |agents: &[u8]| {
         let targets = agents.iter().map(|number| RankedTarget {
             agent: agent(*number),
@@ -46,8 +46,8 @@
         TargetRanking::new(targets.collect())
     };
     ServiceTargets {
-        open: ranking(open),
-        hold: ranking(hold),
+        accepting: ranking(accepting),
+        possible_owners: ranking(possible_owners),
     }
 }
 
@@ -55,7 +55,7 @@
 pub(super) fn known(services: HashMap<ServiceTag, ServiceTargets>) -> KnownTargets {
     KnownTargets {
         services,
-        starts: HashMap::new(),
+        incarnations: HashMap::new(),
         complete: true,
     }
 }
@@ -95,16 +95,16 @@
     FlowReport {
         flow: flow(port),
         agent: from,
-        target: Some(START_OF_TARGET),
-        walk: 0,
+        incarnation: Some(START_OF_TARGET),
+        lookup_id: 0,
         kind,
     }
 }
 
 /// An agent's word that it, the last one asked in a walk, does not hold flow 1.
-fn not_held(from: Ipv4Addr, walk: u32) -> FlowReport {
+fn not_held(from: Ipv4Addr, lookup_id: u32) -> FlowReport {
     FlowReport {
-        walk,
+        lookup_id,
         ..report(1, from, ReportKind::NotHeld)
     }
 }
@@ -226,7 +226,7 @@
 
 /// Sends data of flow 1, whose owner is not known; returns who is asked first
 /// and the frame's header.
-fn look(flows: &mut BalancerFlows) -> (Ipv4Addr, HopHeader) {
+fn start_lookup(flows: &mut BalancerFlows) -> (Ipv4Addr, HopHeader) {
     let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
     match flows.take_packet(&data, &[1], START) {
         FlowVerdict::Forward { to, header } => (to, header),
@@ -234,18 +234,18 @@
     }
 }
 
-fn last_of(to: Ipv4Addr, header: &HopHeader) -> Ipv4Addr {
+fn last_candidate(to: Ipv4Addr, header: &HopHeader) -> Ipv4Addr {
     header.candidates().last().copied().unwrap_or(to)
 }
 
 /// Looks for flow 1 of which no target knows; returns who was asked and the end.
-pub(super) fn walk(flows: &mut BalancerFlows) -> (Vec<Ipv4Addr>, ReportStep) {
-    let (mut to, mut header) = look(flows);
+pub(super) fn run_lookup(flows: &mut BalancerFlows) -> (Vec<Ipv4Addr>, ReportStep) {
+    let (mut to, mut header) = start_lookup(flows);
     let mut asked = Vec::new();
     loop {
         asked.push(to);
         asked.extend(header.candidates());
-        let word = not_held(last_of(to, &header), header.walk);
+        let word = not_held(last_candidate(to, &header), header.lookup_id);
         match flows.take_report(&word, START) {
             ReportStep::Forward {
                 to: next,
@@ -262,7 +262,7 @@
     let mut flows = balancer();
     let many: Vec<u8> = (1..43).collect();
     flows.set_targets(known(HashMap::from([(service(), targets(&many, &many))])));
-    let (mut asked, end) = walk(&mut flows);
+    let (mut asked, end) = run_lookup(&mut flows);
     assert!(matches!(end, ReportStep::Reset(reset) if reset.flow == flow(1)));
     assert_eq!(asked.len(), 42);
     asked.sort_unstable();
@@ -276,22 +276,22 @@
     let mut partial = known(HashMap::from([(service(), targets(&[1, 2], &[1, 2]))]));
     partial.complete = false;
     flows.set_targets(partial);
-    assert_eq!(walk(&mut flows).1, ReportStep::Nothing);
+    assert_eq!(run_lookup(&mut flows).1, ReportStep::Nothing);
     let mut flows = balancer();
     flows.set_current(false);
-    assert_eq!(walk(&mut flows).1, ReportStep::Nothing);
+    assert_eq!(run_lookup(&mut flows).1, ReportStep::Nothing);
 }
 
 #[test]
 fn a_target_that_came_meanwhile_is_asked_before_a_flow_is_reset() {
     let mut flows = balancer();
-    let (to, header) = look(&mut flows);
+    let (to, header) = start_lookup(&mut flows);
     let agents = [1, 2, 3, 4, 5, 6];
     flows.set_targets(known(HashMap::from([(
         service(),
         targets(&agents, &agents),
     )])));
-    let word = not_held(last_of(to, &header), header.walk);
+    let word = not_held(last_candidate(to, &header), header.lookup_id);
     let step = flows.take_report(&word, START);
     assert!(matches!(step, ReportStep::Forward { to, .. } if to == agent(6)));
 }
@@ -301,12 +301,12 @@
 #[test]
 fn a_late_word_on_an_earlier_walk_ends_no_flow() {
     let mut flows = balancer();
-    let (to, earlier) = look(&mut flows);
-    let (_, later) = look(&mut flows);
-    let last = last_of(to, &earlier);
-    let step = flows.take_report(&not_held(last, earlier.walk), START);
+    let (to, earlier) = start_lookup(&mut flows);
+    let (_, later) = start_lookup(&mut flows);
+    let last = last_candidate(to, &earlier);
+    let step = flows.take_report(&not_held(last, earlier.lookup_id), START);
     assert_eq!(step, ReportStep::Nothing);
-    let step = flows.take_report(&not_held(last, later.walk), START);
+    let step = flows.take_report(&not_held(last, later.lookup_id), START);
     assert!(matches!(step, ReportStep::Reset(_)));
 }
 
@@ -321,29 +321,29 @@
 #[test]
 fn a_word_of_an_agent_in_the_middle_ends_no_walk() {
     let mut flows = balancer();
-    let (to, header) = look(&mut flows);
-    let step = flows.take_report(&not_held(to, header.walk), START);
+    let (to, header) = start_lookup(&mut flows);
+    let step = flows.take_report(&not_held(to, header.lookup_id), START);
     assert_eq!(step, ReportStep::Nothing);
 }
 
 /// Returns a balancer that was told that agent 2 holds flow 1, and knows this
 /// start of its target.
-fn balancer_with_start(start: TargetStart) -> BalancerFlows {
+fn balancer_with_start(start: TargetIncarnation) -> BalancerFlows {
     let mut flows = balancer();
     flows.take_report(&report(1, agent(2), ReportKind::Held), START);
     let mut targets = known(HashMap::from([(
         service(),
         targets(&[1, 2, 3], &[1, 2, 3]),
     )]));
-    targets.starts.insert(agent(2), start);
+    targets.incarnations.insert(agent(2), start);
     flows.set_targets(targets);
     flows
 }
 
 #[test]
 fn a_flow_whose_target_ended_is_reset_at_once() {
-    let mut flows = balancer_with_start(TargetStart {
-        target: Some(START_OF_TARGET),
+    let mut flows = balancer_with_start(TargetIncarnation {
+        id: Some(START_OF_TARGET),
         ended: true,
     });
     let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
@@ -358,15 +358,15 @@
 /// of the newer start that took it.
 #[test]
 fn a_flow_whose_target_started_again_is_looked_for_beginning_there() {
-    let mut flows = balancer_with_start(TargetStart {
-        target: Some(IncarnationId::new(4)),
+    let mut flows = balancer_with_start(TargetIncarnation {
+        id: Some(IncarnationId::new(4)),
         ended: false,
     });
     let (asked, others) = continued(&mut flows, 1);
     assert_eq!(asked, agent(2));
     assert_eq!(others.len(), 2);
     // Once nobody holds it, it is gone.
-    assert!(matches!(walk(&mut flows).1, ReportStep::Reset(_)));
+    assert!(matches!(run_lookup(&mut flows).1, ReportStep::Reset(_)));
 }
 
 #[test]
@@ -374,11 +374,11 @@
     let mut flows = balancer();
     flows.take_report(&report(1, agent(2), ReportKind::Held), START);
     let mut targets = known(HashMap::from([(service(), targets(&[1], &[1, 2]))]));
-    let same = TargetStart {
-        target: Some(START_OF_TARGET),
+    let same = TargetIncarnation {
+        id: Some(START_OF_TARGET),
         ended: false,
     };
-    targets.starts.insert(agent(2), same);
+    targets.incarnations.insert(agent(2), same);
     flows.set_targets(targets);
     assert_eq!(continued(&mut flows, 1).0, agent(2));
 }
--- a/src/flow/tests/just_started.rs
+++ b/src/flow/tests/just_started.rs
@@ -5,7 +5,7 @@
 
 use super::{
     BALANCER, agent,
-    balancer_verdicts::{AGE, START, known, manifest, route, service, targets, walk},
+    balancer_verdicts::{AGE, START, known, manifest, route, run_lookup, service, targets},
     flow, from_caller,
 };
 use crate::{
@@ -74,7 +74,7 @@
             (other, targets(&[3], &[3])),
         ]),
     );
-    let (mut asked, end) = walk(&mut flows);
+    let (mut asked, end) = run_lookup(&mut flows);
     asked.sort_unstable();
     // The routes may be older than the flow, so every service is asked.
     assert_eq!(asked, [agent(1), agent(2), agent(3)]);
@@ -91,6 +91,6 @@
     let mut partial = known(HashMap::from([(service(), targets(&[1], &[1]))]));
     partial.complete = false;
     flows.set_targets(partial);
-    assert_eq!(walk(&mut flows).1, ReportStep::Nothing);
+    assert_eq!(run_lookup(&mut flows).1, ReportStep::Nothing);
     assert_eq!(flows.take_parked(START).len(), 1);
 }
--- a/src/listener/listener_fault.rs
+++ b/src/listener/listener_fault.rs
@@ -3,16 +3,16 @@
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// Why a listener manifest is refused.
+/// Why a listener manifest is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 pub enum ListenerFault {
-    /// The document can't be read.
+    /// The document can't be parsed.
     #[error("the manifest cannot be read: {detail}")]
     Unreadable {
-        /// What the reader found and where.
+        /// The error and its position.
         detail: String,
     },
-    /// A route names a service that the manifest does not list.
+    /// A route refers to a service that the manifest does not list.
     #[error("route {route} names the service {service}, which the manifest does not list")]
     UnknownService {
         /// The route.
@@ -20,7 +20,7 @@
         /// The service.
         service: String,
     },
-    /// Two routes share an address and port.
+    /// Two routes have the same address and port.
     #[error("route {route} has the address {address} of another route")]
     AddressTaken {
         /// The later route.
@@ -28,13 +28,13 @@
         /// The shared address and port.
         address: SocketAddrV4,
     },
-    /// A route has no time in which to answer.
+    /// A route has a timeout of zero.
     #[error("route {route} has a timeout of zero")]
     ZeroTimeout {
         /// The route.
         route: String,
     },
-    /// A route sends new flows nowhere.
+    /// A route has no service with a weight above zero.
     #[error("route {route} names no service with a weight above zero")]
     NoWeight {
         /// The route.
--- a/src/listener/listener_manifest.rs
+++ b/src/listener/listener_manifest.rs
@@ -5,45 +5,46 @@
 use super::{ListenerFault, RouteUrgency, ServiceTag};
 use crate::clock::SpanMillis;
 
-/// A share of a route's new flows.
+/// The share of a route's new flows that a service gets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceShare {
     /// The service.
     pub service: ServiceTag,
-    /// The share, relative to the route's other shares.
+    /// The weight relative to the route's other services.
     pub weight: u32,
 }
 
-/// Where the new flows of one address and port go.
+/// Routes one address and port to services.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListenerRoute {
     /// The address and port that callers open flows to.
     pub address: SocketAddrV4,
     /// The services, at least one with a weight above zero.
     pub shares: Vec<ServiceShare>,
-    /// How pressing its requests are.
+    /// The urgency of the route's requests.
     pub urgency: RouteUrgency,
 }
 
-/// All routes of a deployment in one version.
+/// All routes of a deployment at one version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListenerManifest {
-    /// The version; the highest one is in force.
+    /// The version; the manifest with the highest one is in force.
     pub version: u64,
-    /// The routes, each with an address of its own.
+    /// The routes; their addresses are distinct.
     pub routes: Vec<ListenerRoute>,
-    /// The time without a packet after which a flow may be forgotten.
+    /// The time without a packet after which a flow may be dropped.
     pub idle: SpanMillis,
 }
 
 impl ListenerManifest {
-    /// Checks what a single route can't show: that no two share an address.
+    /// Checks that no two routes share an address and that each has a service with
+    /// a weight above zero.
     ///
     /// `names` are the routes' names in the same order, for the error.
     ///
     /// # Errors
     ///
-    /// Fails with the first route that is at fault.
+    /// Fails with the first invalid route.
     pub fn check(&self, names: &[String]) -> Result<(), ListenerFault> {
         let mut seen = BTreeSet::new();
         for (route, name) in self.routes.iter().zip(names) {
--- a/src/listener/listener_store.rs
+++ b/src/listener/listener_store.rs
@@ -10,17 +10,17 @@
     key::FeedRevision,
 };
 
-/// A manifest together with the document that it was read from.
+/// A manifest and the document that it was parsed from.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct StoredManifest {
     /// The routes.
     pub(crate) manifest: ListenerManifest,
-    /// The operator's document, for reading back.
+    /// The operator's document, returned when it is read back.
     pub(crate) document: Vec<u8>,
 }
 
 impl StoredManifest {
-    /// Returns the command that proposes this manifest to the log.
+    /// Encodes the manifest as a command for the replicated log.
     ///
     /// # Errors
     ///
@@ -30,46 +30,46 @@
     }
 }
 
-/// The replicated state of a deployment that has only listener routes: the
-/// manifest with the highest version.
+/// Replicated state of a deployment that only has listener routes: the manifest
+/// with the highest version.
 #[derive(Debug, Clone)]
 pub(crate) struct ListenerStore {
-    held: Arc<Mutex<Option<Arc<StoredManifest>>>>,
-    news: watch::Sender<Option<Arc<StoredManifest>>>,
+    stored: Arc<Mutex<Option<Arc<StoredManifest>>>>,
+    changes: watch::Sender<Option<Arc<StoredManifest>>>,
 }
 
 impl ListenerStore {
     /// Creates a store without a manifest.
     pub(crate) fn new() -> Self {
         Self {
-            held: Arc::default(),
-            news: watch::Sender::new(None),
+            stored: Arc::default(),
+            changes: watch::Sender::new(None),
         }
     }
 
-    /// Executes one committed command; a version that is not higher than the
-    /// one held changes nothing. Returns an empty outcome.
+    /// Applies one committed command; a manifest whose version is not higher than
+    /// the current one changes nothing. Returns an empty outcome.
     pub(crate) fn apply(&self, command: &[u8]) -> Vec<u8> {
         match postcard::from_bytes::<StoredManifest>(command) {
-            Ok(stored) => self.take(stored),
-            // Every replica ignores it alike.
+            Ok(stored) => self.replace_if_newer(stored),
+            // All replicas ignore it, so they stay consistent.
             Err(error) => log_event!(error, ControlEvent::CommandUnread, %error),
         }
         Vec::new()
     }
 
-    fn take(&self, stored: StoredManifest) {
-        let mut held = self.lock();
-        let newer = held
+    fn replace_if_newer(&self, stored: StoredManifest) {
+        let mut current = self.lock();
+        let newer = current
             .as_ref()
             .is_none_or(|old| old.manifest.version < stored.manifest.version);
         if newer {
-            *held = Some(Arc::new(stored));
-            self.news.send_replace(held.clone());
+            *current = Some(Arc::new(stored));
+            self.changes.send_replace(current.clone());
         }
     }
 
-    /// Returns the state as bytes.
+    /// Encodes the state as a snapshot.
     ///
     /// # Errors
     ///
@@ -78,17 +78,17 @@
         postcard::to_stdvec(&self.lock().as_deref()).map_err(StateError::Snapshot)
     }
 
-    /// Takes over the state of a snapshot.
+    /// Replaces the state by that of a snapshot.
     ///
     /// # Errors
     ///
-    /// Fails when the bytes are no state; the state held stays.
+    /// Fails when the bytes can't be decoded; the state then stays unchanged.
     pub(crate) fn restore(&self, bytes: &[u8]) -> Result<(), StateError> {
         let state: Option<StoredManifest> =
             postcard::from_bytes(bytes).map_err(StateError::Snapshot)?;
-        let mut held = self.lock();
-        *held = state.map(Arc::new);
-        self.news.send_replace(held.clone());
+        let mut current = self.lock();
+        *current = state.map(Arc::new);
+        self.changes.send_replace(current.clone());
         Ok(())
     }
 
@@ -97,18 +97,21 @@
         self.lock().clone()
     }
 
-    /// Returns the version in force as a revision; zero before the first one.
+    /// Returns the version in force as a revision, zero without a manifest.
     pub(crate) fn revision(&self) -> FeedRevision {
-        let version = self.lock().as_ref().map_or(0, |held| held.manifest.version);
+        let version = self
+            .lock()
+            .as_ref()
+            .map_or(0, |current| current.manifest.version);
         FeedRevision::new(version)
     }
 
-    /// Returns a receiver that shows each manifest that comes in force.
+    /// Returns a receiver that is notified of each manifest that comes into force.
     pub(crate) fn subscribe(&self) -> watch::Receiver<Option<Arc<StoredManifest>>> {
-        self.news.subscribe()
+        self.changes.subscribe()
     }
 
     fn lock(&self) -> MutexGuard<'_, Option<Arc<StoredManifest>>> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+        self.stored.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/listener/listener_table.rs
+++ b/src/listener/listener_table.rs
@@ -3,22 +3,22 @@
 use super::{ListenerManifest, ListenerRoute, RouteUrgency, ServiceShare, ServiceTag};
 use crate::clock::{ClockMillis, SpanMillis};
 
-/// Where the packets of one address and port may go.
+/// The services for packets to one address and port.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct RouteChoice {
     /// The service for new flows.
-    pub(crate) opens: ServiceTag,
+    pub(crate) new_flow_service: ServiceTag,
     /// Every service that may hold an open flow, the likeliest first.
-    pub(crate) holds: Vec<ServiceTag>,
-    /// How pressing the requests are.
+    pub(crate) owner_services: Vec<ServiceTag>,
+    /// The urgency of the route's requests.
     pub(crate) urgency: RouteUrgency,
 }
 
-/// A service that a route used earlier.
+/// A former service of a route, kept until the flows opened to it have expired.
 #[derive(Debug, Clone, Copy)]
 struct FormerShare {
     service: ServiceTag,
-    until: ClockMillis,
+    expires_at: ClockMillis,
 }
 
 #[derive(Debug, Clone)]
@@ -28,8 +28,8 @@
     former: Vec<FormerShare>,
 }
 
-/// The routes in force at a balancer, with the services that open flows of a
-/// changed route may still be on.
+/// The routes in force at a balancer, with the former services that open flows of
+/// changed routes may still be on.
 #[derive(Debug, Clone)]
 pub(crate) struct ListenerTable {
     version: u64,
@@ -38,7 +38,8 @@
 }
 
 impl ListenerTable {
-    /// Creates an empty table; flows older than `flow_age` may be forgotten.
+    /// Creates an empty table; the former services of a route are kept for
+    /// `flow_age`, after which flows on them may be dropped.
     pub(crate) fn new(flow_age: SpanMillis) -> Self {
         Self {
             version: 0,
@@ -47,22 +48,21 @@
         }
     }
 
-    /// Returns the version in force, zero before the first one.
+    /// Returns the version in force, zero without a manifest.
     pub(crate) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Puts a manifest in force unless it is older than the one in force.
-    ///
-    /// Returns whether it changed anything.
+    /// Puts a manifest into force if its version is higher than the one in force;
+    /// returns whether it was.
     pub(crate) fn replace(&mut self, manifest: &ListenerManifest, now: ClockMillis) -> bool {
         if manifest.version <= self.version {
             return false;
         }
         self.version = manifest.version;
-        let mut earlier = std::mem::take(&mut self.entries);
+        let mut previous = std::mem::take(&mut self.entries);
         for route in &manifest.routes {
-            let former = earlier
+            let former = previous
                 .remove(&route.address)
                 .map_or_else(Vec::new, |entry| {
                     former_shares(&entry, route, now, self.flow_age)
@@ -77,64 +77,66 @@
         true
     }
 
-    /// Returns where packets for `address` go; `spread` picks among shares.
+    /// Returns the services for a flow to `address`, `None` without a route;
+    /// `flow_hash` selects one by weight for a new flow.
     pub(crate) fn choose(
         &self,
         address: SocketAddrV4,
-        spread: u64,
+        flow_hash: u64,
         now: ClockMillis,
     ) -> Option<RouteChoice> {
         let entry = self.entries.get(&address)?;
-        let opens = pick_share(&entry.shares, spread)?;
-        let mut holds = vec![opens];
+        let new_flow_service = pick_share(&entry.shares, flow_hash)?;
+        let mut owner_services = vec![new_flow_service];
         let others = entry.shares.iter().map(|share| share.service);
         let former = entry
             .former
             .iter()
-            .filter(|share| share.until > now)
+            .filter(|share| share.expires_at > now)
             .map(|share| share.service);
         for service in others.chain(former) {
-            if !holds.contains(&service) {
-                holds.push(service);
+            if !owner_services.contains(&service) {
+                owner_services.push(service);
             }
         }
         Some(RouteChoice {
-            opens,
-            holds,
+            new_flow_service,
+            owner_services,
             urgency: entry.urgency,
         })
     }
 }
 
+/// Returns the current and former services of `entry` that `route` no longer uses.
 fn former_shares(
     entry: &TableEntry,
     route: &ListenerRoute,
     now: ClockMillis,
     flow_age: SpanMillis,
 ) -> Vec<FormerShare> {
-    let left = entry.shares.iter().map(|share| FormerShare {
+    let removed = entry.shares.iter().map(|share| FormerShare {
         service: share.service,
-        until: now.after(flow_age),
+        expires_at: now.after(flow_age),
     });
-    let kept = entry.former.iter().filter(|share| share.until > now);
-    let mut former: Vec<FormerShare> = left.chain(kept.copied()).collect();
+    let kept = entry.former.iter().filter(|share| share.expires_at > now);
+    let mut former: Vec<FormerShare> = removed.chain(kept.copied()).collect();
     former.retain(|share| {
-        let stays = |current: &ServiceShare| current.service == share.service;
-        !route.shares.iter().any(stays)
+        let still_used = |current: &ServiceShare| current.service == share.service;
+        !route.shares.iter().any(still_used)
     });
     former
 }
 
-/// Picks a service by weight.
-fn pick_share(shares: &[ServiceShare], spread: u64) -> Option<ServiceTag> {
+/// Selects a service by weight; `None` if all weights are zero.
+fn pick_share(shares: &[ServiceShare], flow_hash: u64) -> Option<ServiceTag> {
     let total: u64 = shares.iter().map(|share| u64::from(share.weight)).sum();
-    let mut place = spread.checked_rem(total)?;
+    let mut offset = flow_hash.checked_rem(total)?;
     for share in shares {
         let weight = u64::from(share.weight);
-        if place < weight {
+        if offset < weight {
             return Some(share.service);
         }
-        place -= weight;
+        offset -= weight;
     }
     None
 }
--- a/src/listener/mod.rs
+++ b/src/listener/mod.rs
@@ -1,8 +1,8 @@
-//! Which service answers at which address and port, for flows whose packets
-//! carry no route.
+//! Routes from addresses and ports to services, for flows whose packets carry no
+//! route.
 //!
-//! The newest version of the manifest wins: an older or equal one is
-//! acknowledged and changes nothing.
+//! The manifest with the highest version is in force. One with a lower or equal
+//! version is acknowledged and changes nothing.
 
 mod listener_fault;
 mod listener_manifest;
--- a/src/listener/route_urgency.rs
+++ b/src/listener/route_urgency.rs
@@ -2,22 +2,22 @@
 
 use crate::clock::SpanMillis;
 
-/// The answer time that counts as good where a route names none.
+/// Latency goal of a route that sets none.
 const DEFAULT_GOAL_MILLIS: SpanMillis = SpanMillis::new(500);
-/// The timeout of a route that names none.
+/// Timeout of a route that sets none.
 const DEFAULT_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(5_000);
-/// The rank of a route that names none: behind everything that is urgent.
+/// Rank of a route that sets none: after all urgent routes.
 const DEFAULT_RANK: u8 = 2;
 
-/// How pressing the requests of a route are; it decides who goes first when
-/// targets are full.
+/// Urgency of a route's requests, which orders queued openings when targets are
+/// full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteUrgency {
-    /// The place among routes; zero goes first.
+    /// The rank among routes; zero goes first.
     pub rank: u8,
-    /// The time within which an answer is as good as at once.
+    /// The latency goal: a faster answer has no further benefit.
     pub goal: SpanMillis,
-    /// The time after which an answer is of no use.
+    /// The time after which an answer is useless.
     pub timeout: SpanMillis,
 }
 
--- a/src/listener/tests/mod.rs
+++ b/src/listener/tests/mod.rs
@@ -93,14 +93,14 @@
     table.replace(&manifest(1, vec![route(1, "tavole")]), START);
     table.replace(&manifest(2, vec![route(1, "raccolta")]), START);
     let choice = table.choose(address(1), 0, START).expect("a route");
-    assert_eq!(choice.opens, ServiceTag::of("raccolta"));
+    assert_eq!(choice.new_flow_service, ServiceTag::of("raccolta"));
     assert_eq!(
-        choice.holds,
+        choice.owner_services,
         [ServiceTag::of("raccolta"), ServiceTag::of("tavole")]
     );
     let later = START.after(AGE);
     let choice = table.choose(address(1), 0, later).expect("a route");
-    assert_eq!(choice.holds, [ServiceTag::of("raccolta")]);
+    assert_eq!(choice.owner_services, [ServiceTag::of("raccolta")]);
 }
 
 #[test]
@@ -114,9 +114,9 @@
     let mut table = ListenerTable::new(AGE);
     table.replace(&manifest(1, vec![split]), START);
     let few = (0..1_000)
-        .filter(|spread| {
-            let choice = table.choose(address(1), *spread, START);
-            choice.is_some_and(|choice| choice.opens == ServiceTag::of("raccolta"))
+        .filter(|flow_hash| {
+            let choice = table.choose(address(1), *flow_hash, START);
+            choice.is_some_and(|choice| choice.new_flow_service == ServiceTag::of("raccolta"))
         })
         .count();
     assert_eq!(few, 100);
