--- a/src/directory/tests.rs
+++ b/src/directory/tests.rs
@@ -31,7 +31,7 @@
     directory
 }
 
-fn open_targets(view: &TargetView) -> usize {
+fn accepting_targets(view: &TargetView) -> usize {
     let known = view.known_targets();
     known
         .services
@@ -49,15 +49,15 @@
 }
 
 #[test]
-fn a_restarted_agent_counts_from_the_beginning() {
+fn a_restarted_agent_starts_a_new_sequence() {
     let mut directory = directory(1, START);
-    let mut fresh = record(0, 1, TargetStanding::Leaving);
-    fresh.agent_run = 2;
-    assert!(directory.announce(fresh, START));
+    let mut restarted = record(0, 1, TargetStanding::Leaving);
+    restarted.agent_run = 2;
+    assert!(directory.announce(restarted, START));
 }
 
 #[test]
-fn a_watcher_gets_only_what_it_lacks() {
+fn a_watcher_gets_only_changed_records() {
     let mut directory = directory(3, START);
     let place = directory.place();
     assert!(directory.news(place, SETTLED).records.is_empty());
@@ -77,28 +77,28 @@
     assert!(directory.expire(later));
     let mut view = TargetView::default();
     view.take_news(directory.news(DirectoryPlace::default(), SETTLED));
-    assert_eq!(open_targets(&view), 4);
+    assert_eq!(accepting_targets(&view), 4);
 }
 
 #[test]
-fn agents_that_fall_silent_together_are_kept() {
+fn agents_that_fall_silent_together_are_not_marked() {
     let mut directory = directory(6, START);
     assert!(!directory.expire(START.after(SpanMillis::new(5_000))));
 }
 
 #[test]
-fn a_balancer_keeps_what_a_restarted_replica_has_not_heard_yet() {
+fn a_balancer_keeps_targets_that_an_unsettled_directory_does_not_list() {
     let mut view = TargetView::default();
     view.take_news(directory(4, START).news(DirectoryPlace::default(), SETTLED));
     let restarted = directory(1, START);
     view.take_news(restarted.news(DirectoryPlace::default(), START));
-    assert_eq!(open_targets(&view), 4);
+    assert_eq!(accepting_targets(&view), 4);
     view.take_news(restarted.news(DirectoryPlace::default(), SETTLED));
-    assert_eq!(open_targets(&view), 1);
+    assert_eq!(accepting_targets(&view), 1);
 }
 
 #[test]
-fn a_directory_that_remembers_its_agents_is_settled_once_they_are_heard() {
+fn a_directory_that_knows_its_agents_is_settled_once_all_have_announced() {
     let agents: BTreeSet<Ipv4Addr> = (0..3)
         .map(|number| Ipv4Addr::new(10, 0, 1, number))
         .collect();
@@ -109,7 +109,7 @@
         restarted.announce(record(number, 1, TargetStanding::Serving), START);
     }
     assert!(restarted.is_settled(START));
-    // One that remembers nothing waits for whoever may still announce itself.
+    // A directory that does not know them waits for agents that may still announce.
     assert!(!directory(3, START).is_settled(START));
     assert!(directory(3, START).is_settled(SETTLED));
 }
--- a/src/flow/tests/just_started.rs
+++ b/src/flow/tests/balancer_startup.rs
@@ -1,11 +1,12 @@
-//! A balancer that has just started, as after a power cut: what it can't decide
-//! on yet is kept, and flows that nobody holds end before a leader is elected.
+//! A balancer that has just started, as after a power outage: it parks packets that
+//! it can't decide on yet, and resets flows that no target holds even before a
+//! leader is elected.
 
 use std::collections::HashMap;
 
 use super::{
     BALANCER, agent,
-    balancer_verdicts::{AGE, START, known, manifest, route, run_lookup, service, targets},
+    balancer_verdicts::{AGE, START, known_targets, manifest, route, run_lookup, service, targets},
     flow, from_caller,
 };
 use crate::{
@@ -17,15 +18,18 @@
     listener::{ListenerTable, ServiceTag},
 };
 
-fn newcomer() -> BalancerFlows {
+fn started_balancer() -> BalancerFlows {
     BalancerFlows::new(BALANCER, ListenerTable::new(AGE), AGE)
 }
 
-fn learn(flows: &mut BalancerFlows, services: HashMap<ServiceTag, ServiceTargets>) {
+fn set_routes_and_targets(
+    flows: &mut BalancerFlows,
+    services: HashMap<ServiceTag, ServiceTargets>,
+) {
     flows
         .table_mut()
         .replace(&manifest(1, vec![route(service())]), START);
-    flows.set_targets(known(services));
+    flows.set_targets(known_targets(services));
 }
 
 fn at(millis: u64) -> ClockMillis {
@@ -37,37 +41,37 @@
 }
 
 #[test]
-fn packets_that_came_before_the_routes_are_decided_on_once_they_are_known() {
-    let mut flows = newcomer();
+fn packets_parked_before_the_routes_are_known_are_forwarded_afterwards() {
+    let mut flows = started_balancer();
     for (port, millis) in [(1, 0), (2, 5), (1, 10)] {
         let verdict = flows.take_packet(&opening(port), &[u8::try_from(port).unwrap()], at(millis));
         assert_eq!(verdict, FlowVerdict::Park(RefusalCause::NotReady));
     }
-    learn(
+    set_routes_and_targets(
         &mut flows,
         HashMap::from([(service(), targets(&[1, 2], &[1, 2]))]),
     );
-    // One packet a flow, the one that has waited longest first.
-    let kept = [295, 290].map(SpanMillis::new);
+    // One packet per flow, the oldest first.
+    let ages = [295, 290].map(SpanMillis::new);
     let parked = flows.take_parked(at(300));
-    assert_eq!(parked, [(kept[0], vec![2]), (kept[1], vec![1])]);
+    assert_eq!(parked, [(ages[0], vec![2]), (ages[1], vec![1])]);
     assert_eq!(flows.take_parked(at(300)), []);
     let verdict = flows.take_packet(&opening(1), &[1], at(300));
     assert!(matches!(verdict, FlowVerdict::Forward { .. }));
 }
 
 #[test]
-fn a_packet_whose_caller_has_repeated_it_is_not_kept_for_ever() {
-    let mut flows = newcomer();
+fn a_parked_packet_is_dropped_after_a_second() {
+    let mut flows = started_balancer();
     flows.take_packet(&opening(1), &[1], START);
     assert_eq!(flows.take_parked(at(1_000)), []);
 }
 
 #[test]
-fn a_flow_that_no_target_of_any_service_holds_ends_before_control_is_heard() {
-    let mut flows = newcomer();
+fn a_flow_that_no_target_of_any_service_holds_is_reset_before_control_is_heard() {
+    let mut flows = started_balancer();
     let other = ServiceTag::of("logbook");
-    learn(
+    set_routes_and_targets(
         &mut flows,
         HashMap::from([
             (service(), targets(&[1, 2], &[1, 2])),
@@ -76,19 +80,19 @@
     );
     let (mut asked, end) = run_lookup(&mut flows);
     asked.sort_unstable();
-    // The routes may be older than the flow, so every service is asked.
+    // The routes may be older than the flow, so the targets of every service are asked.
     assert_eq!(asked, [agent(1), agent(2), agent(3)]);
     assert!(matches!(end, ReportStep::Reset(_)));
 }
 
 #[test]
-fn a_flow_that_may_be_on_a_target_not_heard_of_waits_for_it() {
-    let mut flows = newcomer();
-    learn(
+fn a_packet_is_parked_while_the_target_of_its_flow_may_be_missing() {
+    let mut flows = started_balancer();
+    set_routes_and_targets(
         &mut flows,
         HashMap::from([(service(), targets(&[1], &[1]))]),
     );
-    let mut partial = known(HashMap::from([(service(), targets(&[1], &[1]))]));
+    let mut partial = known_targets(HashMap::from([(service(), targets(&[1], &[1]))]));
     partial.complete = false;
     flows.set_targets(partial);
     assert_eq!(run_lookup(&mut flows).1, ReportStep::Nothing);
--- a/src/flow/tests/balancer_verdicts.rs
+++ b/src/flow/tests/balancer_verdicts.rs
@@ -14,7 +14,7 @@
 };
 
 pub(super) const START: ClockMillis = ClockMillis::new(1_000);
-const START_OF_TARGET: IncarnationId = IncarnationId::new(3);
+const INCARNATION: IncarnationId = IncarnationId::new(3);
 pub(super) const AGE: SpanMillis = SpanMillis::new(60_000);
 
 pub(super) fn service() -> ServiceTag {
@@ -51,8 +51,8 @@
     }
 }
 
-/// All that is known of targets; nothing is missing.
-pub(super) fn known(services: HashMap<ServiceTag, ServiceTargets>) -> KnownTargets {
+/// Returns complete knowledge of the targets.
+pub(super) fn known_targets(services: HashMap<ServiceTag, ServiceTargets>) -> KnownTargets {
     KnownTargets {
         services,
         incarnations: HashMap::new(),
@@ -60,13 +60,13 @@
     }
 }
 
-/// A balancer with one route to targets 1 to 5.
+/// Returns a balancer with one route to targets 1 to 5.
 pub(super) fn balancer() -> BalancerFlows {
     let mut table = ListenerTable::new(AGE);
     table.replace(&manifest(1, vec![route(service())]), START);
     let mut flows = BalancerFlows::new(BALANCER, table, AGE);
     let agents = [1, 2, 3, 4, 5];
-    flows.set_targets(known(HashMap::from([(
+    flows.set_targets(known_targets(HashMap::from([(
         service(),
         targets(&agents, &agents),
     )])));
@@ -95,13 +95,13 @@
     FlowReport {
         flow: flow(port),
         agent: from,
-        incarnation: Some(START_OF_TARGET),
+        incarnation: Some(INCARNATION),
         lookup_id: 0,
         kind,
     }
 }
 
-/// An agent's word that it, the last one asked in a walk, does not hold flow 1.
+/// Returns the report of an agent that it does not hold flow 1.
 fn not_held(from: Ipv4Addr, lookup_id: u32) -> FlowReport {
     FlowReport {
         lookup_id,
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn any_balancer_looks_for_an_owner_in_the_same_order() {
+fn every_balancer_looks_up_an_owner_in_the_same_order() {
     let (first, candidates) = open(&mut balancer(), 1, START);
     let (asked, others) = continued(&mut balancer(), 1);
     assert_eq!(asked, first);
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_flow_that_its_agent_does_not_hold_is_looked_for_again() {
+fn a_flow_that_its_agent_does_not_hold_is_looked_up_again() {
     let mut flows = balancer();
     flows.take_report(&report(1, agent(9), ReportKind::Held), START);
     assert_eq!(continued(&mut flows, 1).0, agent(9));
@@ -139,11 +139,11 @@
 }
 
 #[test]
-fn a_copy_of_an_opening_follows_the_first_one() {
+fn a_retransmitted_opening_goes_to_the_agent_of_the_first_one() {
     let mut flows = balancer();
     let (first, _) = open(&mut flows, 1, START);
     let agents = [1, 2, 3, 4, 5, 6, 7, 8];
-    flows.set_targets(known(HashMap::from([(
+    flows.set_targets(known_targets(HashMap::from([(
         service(),
         targets(&agents, &agents),
     )])));
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn an_unreported_opening_is_sent_on_and_its_agent_is_avoided() {
+fn an_unreported_opening_goes_to_the_next_candidate_and_its_agent_is_avoided() {
     let mut flows = balancer();
     let (silent, candidates) = open(&mut flows, 1, START);
     let due = flows.next_due().expect("a watched opening");
@@ -164,17 +164,17 @@
     assert_eq!(resent[0].2, candidates[0]);
     let avoided = (2..200).all(|port| open(&mut flows, port, due).0 != silent);
     assert!(avoided);
-    // A word of the agent ends the suspicion.
+    // A report of the agent ends the suspicion.
     flows.take_report(&report(900, silent, ReportKind::Held), due);
     assert!((200..400).any(|port| open(&mut flows, port, due).0 == silent));
 }
 
 #[test]
-fn a_target_that_takes_no_new_flows_is_still_asked_for_its_own() {
+fn a_target_that_accepts_no_new_flows_is_still_asked_in_lookups() {
     let mut flows = balancer();
     let (owner, _) = open(&mut flows, 1, START);
     let others: Vec<u8> = (1..6).filter(|number| agent(*number) != owner).collect();
-    flows.set_targets(known(HashMap::from([(
+    flows.set_targets(known_targets(HashMap::from([(
         service(),
         targets(&others, &[1, 2, 3, 4, 5]),
     )])));
@@ -185,13 +185,13 @@
 }
 
 #[test]
-fn an_open_flow_is_found_at_the_service_that_its_route_had_before() {
+fn an_open_flow_is_looked_up_at_the_former_service_of_its_route() {
     let mut flows = balancer();
     let other = ServiceTag::of("logbook");
     flows
         .table_mut()
         .replace(&manifest(2, vec![route(other)]), START);
-    flows.set_targets(known(HashMap::from([
+    flows.set_targets(known_targets(HashMap::from([
         (service(), targets(&[1], &[1])),
         (other, targets(&[8], &[8])),
     ])));
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_dropped_route_is_refused_only_while_the_routes_are_current() {
+fn an_opening_to_a_removed_route_is_reset_only_while_the_routes_are_current() {
     let mut flows = balancer();
     flows.table_mut().replace(&manifest(2, Vec::new()), START);
     let opening = from_caller(flow(1), PacketSigns::OPEN);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn nothing_is_refused_before_the_first_routes_are_known() {
+fn an_opening_is_parked_before_the_first_routes_are_known() {
     let mut flows = BalancerFlows::new(BALANCER, ListenerTable::new(AGE), AGE);
     flows.set_current(true);
     let opening = from_caller(flow(1), PacketSigns::OPEN);
@@ -224,8 +224,8 @@
     assert_eq!(verdict, FlowVerdict::Park(RefusalCause::NotReady));
 }
 
-/// Sends data of flow 1, whose owner is not known; returns who is asked first
-/// and the frame's header.
+/// Sends data of flow 1, whose owner is not known; returns the agent that is asked
+/// first and the frame's header.
 fn start_lookup(flows: &mut BalancerFlows) -> (Ipv4Addr, HopHeader) {
     let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
     match flows.take_packet(&data, &[1], START) {
@@ -238,15 +238,16 @@
     header.candidates().last().copied().unwrap_or(to)
 }
 
-/// Looks for flow 1 of which no target knows; returns who was asked and the end.
+/// Runs a lookup of flow 1, which no target holds; returns the agents that were
+/// asked and the last step.
 pub(super) fn run_lookup(flows: &mut BalancerFlows) -> (Vec<Ipv4Addr>, ReportStep) {
     let (mut to, mut header) = start_lookup(flows);
     let mut asked = Vec::new();
     loop {
         asked.push(to);
         asked.extend(header.candidates());
-        let word = not_held(last_candidate(to, &header), header.lookup_id);
-        match flows.take_report(&word, START) {
+        let report = not_held(last_candidate(to, &header), header.lookup_id);
+        match flows.take_report(&report, START) {
             ReportStep::Forward {
                 to: next,
                 header: after,
@@ -258,10 +259,13 @@
 }
 
 #[test]
-fn a_flow_that_every_target_gave_back_is_reset_after_each_was_asked_once() {
+fn a_flow_that_no_target_holds_is_reset_after_each_was_asked_once() {
     let mut flows = balancer();
     let many: Vec<u8> = (1..43).collect();
-    flows.set_targets(known(HashMap::from([(service(), targets(&many, &many))])));
+    flows.set_targets(known_targets(HashMap::from([(
+        service(),
+        targets(&many, &many),
+    )])));
     let (mut asked, end) = run_lookup(&mut flows);
     assert!(matches!(end, ReportStep::Reset(reset) if reset.flow == flow(1)));
     assert_eq!(asked.len(), 42);
@@ -273,7 +277,7 @@
 #[test]
 fn a_flow_is_never_reset_while_a_target_may_be_missing() {
     let mut flows = balancer();
-    let mut partial = known(HashMap::from([(service(), targets(&[1, 2], &[1, 2]))]));
+    let mut partial = known_targets(HashMap::from([(service(), targets(&[1, 2], &[1, 2]))]));
     partial.complete = false;
     flows.set_targets(partial);
     assert_eq!(run_lookup(&mut flows).1, ReportStep::Nothing);
@@ -283,23 +287,23 @@
 }
 
 #[test]
-fn a_target_that_came_meanwhile_is_asked_before_a_flow_is_reset() {
+fn a_target_added_during_a_lookup_is_asked_before_a_reset() {
     let mut flows = balancer();
     let (to, header) = start_lookup(&mut flows);
     let agents = [1, 2, 3, 4, 5, 6];
-    flows.set_targets(known(HashMap::from([(
+    flows.set_targets(known_targets(HashMap::from([(
         service(),
         targets(&agents, &agents),
     )])));
-    let word = not_held(last_candidate(to, &header), header.lookup_id);
-    let step = flows.take_report(&word, START);
+    let report = not_held(last_candidate(to, &header), header.lookup_id);
+    let step = flows.take_report(&report, START);
     assert!(matches!(step, ReportStep::Forward { to, .. } if to == agent(6)));
 }
 
-/// Seed 2102 of the soak: on a slow path the last agent's word on an earlier
-/// packet came while a later one was still on its way to the owner.
+/// Soak seed 2102: on a slow path, the last agent's report on an earlier packet
+/// arrived while a later one was still in transit to the owner.
 #[test]
-fn a_late_word_on_an_earlier_walk_ends_no_flow() {
+fn a_late_report_on_an_earlier_lookup_resets_no_flow() {
     let mut flows = balancer();
     let (to, earlier) = start_lookup(&mut flows);
     let (_, later) = start_lookup(&mut flows);
@@ -311,7 +315,7 @@
 }
 
 #[test]
-fn a_word_of_an_agent_that_was_asked_in_vain_leaves_the_owner_known() {
+fn a_not_held_report_of_another_agent_keeps_the_confirmed_owner() {
     let mut flows = balancer();
     flows.take_report(&report(1, agent(2), ReportKind::Held), START);
     flows.take_report(&not_held(agent(3), 0), START);
@@ -319,31 +323,31 @@
 }
 
 #[test]
-fn a_word_of_an_agent_in_the_middle_ends_no_walk() {
+fn a_not_held_report_of_an_agent_that_is_not_the_last_one_is_ignored() {
     let mut flows = balancer();
     let (to, header) = start_lookup(&mut flows);
     let step = flows.take_report(&not_held(to, header.lookup_id), START);
     assert_eq!(step, ReportStep::Nothing);
 }
 
-/// Returns a balancer that was told that agent 2 holds flow 1, and knows this
-/// start of its target.
-fn balancer_with_start(start: TargetIncarnation) -> BalancerFlows {
+/// Returns a balancer to which agent 2 reported flow 1 as held, and which knows
+/// this incarnation of the agent's target.
+fn balancer_with_incarnation(incarnation: TargetIncarnation) -> BalancerFlows {
     let mut flows = balancer();
     flows.take_report(&report(1, agent(2), ReportKind::Held), START);
-    let mut targets = known(HashMap::from([(
+    let mut targets = known_targets(HashMap::from([(
         service(),
         targets(&[1, 2, 3], &[1, 2, 3]),
     )]));
-    targets.incarnations.insert(agent(2), start);
+    targets.incarnations.insert(agent(2), incarnation);
     flows.set_targets(targets);
     flows
 }
 
 #[test]
-fn a_flow_whose_target_ended_is_reset_at_once() {
-    let mut flows = balancer_with_start(TargetIncarnation {
-        id: Some(START_OF_TARGET),
+fn a_flow_whose_target_ended_is_reset_without_a_lookup() {
+    let mut flows = balancer_with_incarnation(TargetIncarnation {
+        id: Some(INCARNATION),
         ended: true,
     });
     let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
@@ -354,28 +358,28 @@
     ));
 }
 
-/// Seed 1006 of the soak: the agent may have reported the flow before it heard
-/// of the newer start that took it.
+/// Soak seed 1006: the agent may have reported the flow before it learned of the
+/// newer incarnation that accepted it.
 #[test]
-fn a_flow_whose_target_started_again_is_looked_for_beginning_there() {
-    let mut flows = balancer_with_start(TargetIncarnation {
+fn a_lookup_starts_at_the_restarted_target_of_the_flow() {
+    let mut flows = balancer_with_incarnation(TargetIncarnation {
         id: Some(IncarnationId::new(4)),
         ended: false,
     });
     let (asked, others) = continued(&mut flows, 1);
     assert_eq!(asked, agent(2));
     assert_eq!(others.len(), 2);
-    // Once nobody holds it, it is gone.
+    // If no target holds the flow, it is reset.
     assert!(matches!(run_lookup(&mut flows).1, ReportStep::Reset(_)));
 }
 
 #[test]
-fn a_flow_of_a_target_that_is_only_silent_is_not_reset() {
+fn a_flow_of_a_silent_target_is_not_reset() {
     let mut flows = balancer();
     flows.take_report(&report(1, agent(2), ReportKind::Held), START);
-    let mut targets = known(HashMap::from([(service(), targets(&[1], &[1, 2]))]));
+    let mut targets = known_targets(HashMap::from([(service(), targets(&[1], &[1, 2]))]));
     let same = TargetIncarnation {
-        id: Some(START_OF_TARGET),
+        id: Some(INCARNATION),
         ended: false,
     };
     targets.incarnations.insert(agent(2), same);
@@ -384,7 +388,7 @@
 }
 
 #[test]
-fn a_balancer_that_no_agent_answers_takes_itself_for_cut_off_until_one_does() {
+fn a_balancer_without_reports_is_isolated_until_an_agent_reports() {
     let mut flows = balancer();
     open(&mut flows, 1, START);
     for _ in 0..4 {
--- a/src/flow/tests/frames.rs
+++ b/src/flow/tests/frames.rs
@@ -8,7 +8,7 @@
 
 proptest! {
     #[test]
-    fn a_frame_is_read_as_it_was_written(
+    fn a_frame_survives_encoding_and_decoding(
         service: u64,
         candidates in proptest::collection::vec(1_u8.., 0..8),
         packet: Vec<u8>,
@@ -23,7 +23,7 @@
     }
 
     #[test]
-    fn arbitrary_bytes_are_a_frame_or_none(mut bytes: Vec<u8>) {
+    fn arbitrary_bytes_decode_to_a_frame_or_none(mut bytes: Vec<u8>) {
         let length = bytes.len();
         if let Some(frame) = HopFrame::decode(&mut bytes) {
             prop_assert!(frame.packet.len() < length);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn each_hop_takes_one_candidate_and_the_last_has_none() {
+fn each_hop_removes_one_candidate_until_none_is_left() {
     let header =
         HopHeader::new(ServiceTag::of("logbook"), BALANCER).with_candidates([agent(1), agent(2)]);
     let (first, header) = header.next_hop().expect("two candidates");
--- a/src/flow/tests/full_target.rs
+++ b/src/flow/tests/full_target.rs
@@ -1,4 +1,4 @@
-//! A target whose slots are taken: who is passed on, who waits, who is refused.
+//! Openings at a target without free slots: passed on, queued or refused.
 
 use std::net::Ipv4Addr;
 
@@ -16,9 +16,9 @@
 
 const OWN: Ipv4Addr = Ipv4Addr::new(10, 0, 1, 1);
 const START: ClockMillis = ClockMillis::new(1_000);
-/// Two requests are worked on and one more may wait at the target.
+/// Two requests are processed concurrently and one more may queue at the target.
 const SLOTS: u32 = 2;
-const ROOM: u16 = 3;
+const MAX_IN_FLIGHT: u16 = 3;
 
 fn service() -> ServiceTag {
     ServiceTag::of("barge-control")
@@ -64,25 +64,27 @@
 }
 
 /// Opens a flow and sends a request on it.
-fn ask(flows: &mut AgentFlows, port: u16, now: ClockMillis) {
+fn open_and_request(flows: &mut AgentFlows, port: u16, now: ClockMillis) {
     offer(flows, port, 2, now);
     let accepted = PacketSigns::OPEN.with(PacketSigns::ACKNOWLEDGE);
     flows.take_answer(&from_target(flow(port), accepted), now);
     flows.take_frame(header(2, &[]), &request(flow(port)), &[1], now);
 }
 
-/// Returns an agent whose target has no room: it works on flows 1 to `ROOM`.
+/// Returns an agent whose target is full with the requests of flows 1 to
+/// `MAX_IN_FLIGHT`.
 fn full_agent() -> AgentFlows {
     let mut flows = AgentFlows::new(OWN, service(), 100, SpanMillis::new(60_000));
     flows.set_slots(Some(SLOTS));
     flows.set_target(AgentTarget::Serving, None, START);
-    for port in 1..=ROOM {
-        ask(&mut flows, port, START);
+    for port in 1..=MAX_IN_FLIGHT {
+        open_and_request(&mut flows, port, START);
     }
     flows
 }
 
-/// Returns the flows of the openings that the target gets now.
+/// Dequeues the openings that the target gets now; returns the ports of their
+/// callers.
 fn admitted(flows: &mut AgentFlows, now: ClockMillis) -> Vec<u16> {
     let mut ports = Vec::new();
     while let Some(end) = flows.next_waiting(now) {
@@ -102,7 +104,7 @@
 }
 
 #[test]
-fn the_last_candidate_keeps_an_opening_until_a_slot_is_free() {
+fn the_last_candidate_queues_an_opening_until_a_slot_is_free() {
     let mut flows = full_agent();
     let opening = from_caller(flow(9), PacketSigns::OPEN);
     let step = flows.take_frame(header(2, &[]), &opening, &[1], START);
@@ -116,7 +118,7 @@
 }
 
 #[test]
-fn a_copy_of_a_waiting_opening_waits_with_it() {
+fn a_retransmission_of_a_queued_opening_is_not_queued_again() {
     let mut flows = full_agent();
     assert_eq!(offer(&mut flows, 9, 2, START), AgentAction::Wait);
     assert_eq!(offer(&mut flows, 9, 2, at(200)), AgentAction::Wait);
@@ -124,54 +126,54 @@
 }
 
 #[test]
-fn urgent_openings_go_first_then_the_newest_then_those_that_are_late() {
+fn openings_are_ordered_by_rank_then_newest_first_with_late_ones_last() {
     let mut flows = full_agent();
     offer(&mut flows, 9, 1, at(0));
     offer(&mut flows, 10, 2, at(150));
     offer(&mut flows, 11, 2, at(160));
     offer(&mut flows, 12, 1, at(155));
-    for port in 1..=ROOM {
+    for port in 1..=MAX_IN_FLIGHT {
         flows.take_answer(&answer(flow(port)), at(170));
     }
-    // Flow 9 has waited too long to be answered within its goal.
+    // Flow 9 has waited for more than half of its goal, so it goes last.
     assert_eq!(admitted(&mut flows, at(170)), [12, 11, 10]);
     flows.take_answer(&answer(flow(12)), at(200));
     assert_eq!(admitted(&mut flows, at(200)), [9]);
 }
 
-/// After a power cut, openings arrive that their callers sent before it.
+/// After a power outage, callers retransmit openings that they first sent before it.
 #[test]
-fn a_copy_of_an_opening_is_as_old_as_the_first_one() {
+fn a_retransmitted_opening_has_the_age_of_the_first_one() {
     let mut flows = full_agent();
-    let copy = from_caller(flow(9), PacketSigns::OPEN);
+    let retransmission = from_caller(flow(9), PacketSigns::OPEN);
     let aged = header(1, &[]).with_age(SpanMillis::new(600));
-    flows.take_frame(aged, &copy, &[1], at(20));
+    flows.take_frame(aged, &retransmission, &[1], at(20));
     offer(&mut flows, 10, 2, at(0));
     flows.take_answer(&answer(flow(1)), at(20));
     assert_eq!(admitted(&mut flows, at(20)), [10]);
 }
 
-/// A target that takes 1,800 ms a request begins five more within the timeout of
-/// three seconds.
+/// A target that takes 1,800 ms per request can start five more within the timeout
+/// of three seconds.
 #[test]
 fn an_opening_whose_turn_would_come_after_its_timeout_is_refused_at_once() {
     let mut flows = full_agent();
     flows.take_answer(&answer(flow(1)), at(1_800));
-    ask(&mut flows, 8, at(1_800));
+    open_and_request(&mut flows, 8, at(1_800));
     for port in 10..15 {
         offer(&mut flows, port, 2, at(u64::from(1_800 + port)));
     }
     assert_eq!(flows.next_waiting(at(1_820)), None);
     offer(&mut flows, 15, 2, at(1_820));
     let end = flows.next_waiting(at(1_820)).expect("a refusal");
-    assert_eq!(end.flow, flow(10), "the one whose turn came last");
+    assert_eq!(end.flow, flow(10), "the opening that would go last");
     assert!(matches!(end.step.action, AgentAction::Reset(_)));
     assert_eq!(flows.next_waiting(at(1_820)), None);
     assert_eq!(flows.waiting(), 5);
 }
 
 #[test]
-fn an_opening_that_waited_too_long_is_refused_as_not_run() {
+fn an_opening_that_waited_too_long_is_refused() {
     let mut flows = full_agent();
     offer(&mut flows, 9, 2, START);
     assert_eq!(flows.next_waiting(at(900)), None);
@@ -187,7 +189,7 @@
 #[case::leaving(AgentTarget::Leaving)]
 #[case::ended(AgentTarget::Ended)]
 #[case::lost(AgentTarget::Lost)]
-fn a_target_that_leaves_gets_no_opening_that_waited(#[case] target: AgentTarget) {
+fn queued_openings_are_refused_once_the_target_accepts_no_flows(#[case] target: AgentTarget) {
     let mut flows = full_agent();
     offer(&mut flows, 9, 2, START);
     flows.set_target(target, None, START);
@@ -198,15 +200,15 @@
 }
 
 #[test]
-fn a_repeated_request_takes_no_second_place() {
+fn a_retransmitted_request_is_not_counted_again() {
     let mut flows = full_agent();
     flows.take_answer(&answer(flow(1)), at(10));
     flows.take_frame(header(2, &[]), &request(flow(1)), &[1], at(20));
-    assert_eq!(flows.busy(), usize::from(ROOM) - 1);
+    assert_eq!(flows.busy(), usize::from(MAX_IN_FLIGHT) - 1);
 }
 
 #[test]
-fn a_flow_without_a_request_gives_its_place_back() {
+fn a_reservation_without_a_request_expires() {
     let mut flows = full_agent();
     flows.take_answer(&answer(flow(1)), START);
     assert!(matches!(
@@ -221,20 +223,20 @@
 }
 
 #[test]
-fn a_request_that_its_target_gives_back_takes_no_place() {
+fn a_bounced_request_is_not_in_flight() {
     let mut flows = full_agent();
     let packet = request(flow(7));
     let step = flows.take_frame(header(2, &[]), &packet, &[1], START);
     let AgentAction::Deliver { tag } = step.action else {
         panic!("not delivered: {step:?}");
     };
-    assert_eq!(flows.busy(), usize::from(ROOM) + 1);
+    assert_eq!(flows.busy(), usize::from(MAX_IN_FLIGHT) + 1);
     flows.take_answer(&bounced(flow(7), PacketSigns::ACKNOWLEDGE, tag), START);
-    assert_eq!(flows.busy(), usize::from(ROOM));
+    assert_eq!(flows.busy(), usize::from(MAX_IN_FLIGHT));
 }
 
 #[test]
-fn a_target_that_names_no_slots_is_never_full() {
+fn a_target_without_announced_slots_is_never_full() {
     let mut flows = full_agent();
     flows.set_slots(None);
     assert!(matches!(
--- a/src/flow/tests/mod.rs
+++ b/src/flow/tests/mod.rs
@@ -1,11 +1,11 @@
-//! Tests of flows without a network.
+//! Tests of the flow decisions, without a network.
 
 mod agent_steps;
+mod balancer_startup;
 mod balancer_verdicts;
 mod frames;
 mod full_target;
-mod just_started;
-mod opening_wave;
+mod opening_burst;
 mod overload;
 mod ranking;
 mod request_ids;
@@ -15,20 +15,20 @@
 use super::{FlowKey, FlowPacket, PacketSigns};
 use crate::clock::SpanMillis;
 
-/// The balancer of the tests.
+/// The address of the balancer.
 const BALANCER: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
 
-/// Returns the agent with a number.
+/// Returns the address of an agent.
 fn agent(number: u8) -> Ipv4Addr {
     Ipv4Addr::new(10, 0, 1, number)
 }
 
-/// Returns the listener of the tests' only route.
+/// Returns the listener of the only route.
 fn listener() -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443)
 }
 
-/// Returns a flow of a caller with this port.
+/// Returns the flow of the caller with this port.
 fn flow(port: u16) -> FlowKey {
     FlowKey {
         caller: SocketAddrV4::new(Ipv4Addr::new(100, 64, 0, 7), port),
@@ -36,7 +36,7 @@
     }
 }
 
-/// Returns a packet of a flow's caller.
+/// Returns a packet from the caller of a flow.
 fn from_caller(flow: FlowKey, signs: PacketSigns) -> FlowPacket {
     FlowPacket {
         source: flow.caller,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Returns a packet of a flow's target.
+/// Returns a packet from the target of a flow.
 fn from_target(flow: FlowKey, signs: PacketSigns) -> FlowPacket {
     FlowPacket {
         source: flow.listener,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Returns a caller's packet as its target gives it back.
+/// Returns a caller's packet as bounced by its target.
 fn bounced(flow: FlowKey, signs: PacketSigns, tag: u32) -> FlowPacket {
     FlowPacket {
         tag,
--- a/src/flow/tests/opening_wave.rs
+++ b/src/flow/tests/opening_burst.rs
@@ -1,6 +1,6 @@
-//! The wave after a power cut: every caller that waited opens a flow at once, on
-//! targets that work slowly since they have just started, while new requests
-//! keep coming at nine tenths of what the targets can do.
+//! The burst of openings after a power outage: all waiting callers open a flow at
+//! once on targets that are slow since they have just started, while new requests
+//! arrive at nine tenths of the targets' capacity.
 
 use std::{
     collections::{BTreeMap, BinaryHeap, VecDeque},
@@ -19,53 +19,53 @@
 
 const TARGETS: u8 = 6;
 const SLOTS: usize = 4;
-/// What a request takes on a target that has just started.
-const WORK_MILLIS: u64 = 50;
-/// The callers that waited for the power to come back.
-const WAVE: u16 = 420;
-/// New requests in two seconds: nine tenths of 6 x 4 slots at 50 ms.
-const FRESH: u16 = 864;
-const FRESH_MILLIS: u64 = 2_000;
+/// The service time of a request on a target that has just started.
+const SERVICE_TIME_MILLIS: u64 = 50;
+/// The number of callers that waited for the end of the outage.
+const BURST: u16 = 420;
+/// New requests in two seconds: nine tenths of what 6 x 4 slots serve at 50 ms each.
+const NEW_REQUESTS: u16 = 864;
+const NEW_REQUESTS_MILLIS: u64 = 2_000;
 /// The time between the answer to an opening and the request.
-const TRIP_MILLIS: u64 = 4;
+const ROUND_TRIP_MILLIS: u64 = 4;
 const GOAL_MILLIS: u64 = 150;
 
-/// What happens to a flow at a time; the earliest first.
+/// An event of a flow.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Step {
+enum FlowEvent {
     Open,
-    Ask { at: u8 },
-    Answer { at: u8 },
+    Request { target: u8 },
+    Answer { target: u8 },
 }
 
-/// A target that works on some requests and queues the others.
+/// A target that processes up to `SLOTS` requests concurrently and queues the others.
 #[derive(Debug, Default)]
 struct ModelTarget {
-    working: usize,
+    processing: usize,
     queued: VecDeque<FlowKey>,
 }
 
-/// Targets with their agents, and the events to come.
-struct WaveModel {
+/// Simulation of targets with their agents and the scheduled events.
+struct BurstModel {
     agents: BTreeMap<Ipv4Addr, (u8, AgentFlows, ModelTarget)>,
     ranking: TargetRanking,
-    events: BinaryHeap<std::cmp::Reverse<(u64, FlowKey, Step)>>,
+    events: BinaryHeap<std::cmp::Reverse<(u64, FlowKey, FlowEvent)>>,
     opened_at: BTreeMap<FlowKey, u64>,
-    answered_in: BTreeMap<FlowKey, u64>,
+    answered_after: BTreeMap<FlowKey, u64>,
 }
 
 fn service() -> ServiceTag {
     ServiceTag::of("barge-control")
 }
 
-impl WaveModel {
+impl BurstModel {
     fn new() -> Self {
         let agents = (1..=TARGETS).map(|number| {
-            let own = agent(number);
-            let mut flows = AgentFlows::new(own, service(), 1, SpanMillis::new(60_000));
+            let address = agent(number);
+            let mut flows = AgentFlows::new(address, service(), 1, SpanMillis::new(60_000));
             flows.set_slots(Some(4));
             flows.set_target(AgentTarget::Serving, None, ClockMillis::ORIGIN);
-            (own, (number, flows, ModelTarget::default()))
+            (address, (number, flows, ModelTarget::default()))
         });
         let ranked = (1..=TARGETS).map(|number| RankedTarget {
             agent: agent(number),
@@ -76,24 +76,24 @@
             ranking: TargetRanking::new(ranked.collect()),
             events: BinaryHeap::new(),
             opened_at: BTreeMap::new(),
-            answered_in: BTreeMap::new(),
+            answered_after: BTreeMap::new(),
         }
     }
 
-    fn plan(&mut self, at: u64, flow: FlowKey, step: Step) {
-        self.events.push(std::cmp::Reverse((at, flow, step)));
+    fn schedule(&mut self, at: u64, flow: FlowKey, event: FlowEvent) {
+        self.events.push(std::cmp::Reverse((at, flow, event)));
     }
 
     fn run(&mut self) {
-        while let Some(std::cmp::Reverse((at, flow, step))) = self.events.pop() {
+        while let Some(std::cmp::Reverse((at, flow, event))) = self.events.pop() {
             let now = ClockMillis::new(at);
-            match step {
-                Step::Open => {
+            match event {
+                FlowEvent::Open => {
                     self.opened_at.entry(flow).or_insert(at);
                     self.offer(flow, now);
                 }
-                Step::Ask { at: number } => self.ask(number, flow, now),
-                Step::Answer { at: number } => self.answer(number, flow, now),
+                FlowEvent::Request { target: number } => self.request(number, flow, now),
+                FlowEvent::Answer { target: number } => self.answer(number, flow, now),
             }
         }
     }
@@ -116,20 +116,24 @@
                 AgentAction::PassOn { to, header } => hop = Some((to, header)),
                 AgentAction::Deliver { .. } => return self.accept(number, flow, now),
                 AgentAction::Wait => return,
-                other => panic!("neither taken nor kept: {other:?}"),
+                other => panic!("neither delivered nor queued: {other:?}"),
             }
         }
     }
 
-    /// The target answers an opening; the caller's request follows.
+    /// Lets the target answer an opening and schedules the caller's request.
     fn accept(&mut self, number: u8, flow: FlowKey, now: ClockMillis) {
         let accepted = PacketSigns::OPEN.with(PacketSigns::ACKNOWLEDGE);
         let (_, flows, _) = self.agents.get_mut(&agent(number)).expect("an agent");
         flows.take_answer(&from_target(flow, accepted), now);
-        self.plan(now.millis() + TRIP_MILLIS, flow, Step::Ask { at: number });
+        self.schedule(
+            now.millis() + ROUND_TRIP_MILLIS,
+            flow,
+            FlowEvent::Request { target: number },
+        );
     }
 
-    fn ask(&mut self, number: u8, flow: FlowKey, now: ClockMillis) {
+    fn request(&mut self, number: u8, flow: FlowKey, now: ClockMillis) {
         let packet = FlowPacket {
             data_bytes: 100,
             ..from_caller(flow, PacketSigns::ACKNOWLEDGE)
@@ -138,7 +142,7 @@
         let (_, flows, target) = self.agents.get_mut(&agent(number)).expect("an agent");
         flows.take_frame(header, &packet, &[1], now);
         target.queued.push_back(flow);
-        self.work(number, now);
+        self.start_requests(number, now);
     }
 
     fn answer(&mut self, number: u8, flow: FlowKey, now: ClockMillis) {
@@ -148,67 +152,67 @@
         };
         let (_, flows, target) = self.agents.get_mut(&agent(number)).expect("an agent");
         flows.take_answer(&packet, now);
-        target.working -= 1;
+        target.processing -= 1;
         let opened_at = self.opened_at[&flow];
-        self.answered_in.insert(flow, now.millis() - opened_at);
-        let mut taken = Vec::new();
+        self.answered_after.insert(flow, now.millis() - opened_at);
+        let mut delivered = Vec::new();
         while let Some(end) = flows.next_waiting(now) {
             match end.step.action {
-                AgentAction::Deliver { .. } => taken.push(end.flow),
-                // The caller opens another flow, which the test leaves out.
+                AgentAction::Deliver { .. } => delivered.push(end.flow),
+                // The caller would open another flow, which is not simulated.
                 AgentAction::Reset(_) => {}
-                other => panic!("neither taken nor refused: {other:?}"),
+                other => panic!("neither delivered nor refused: {other:?}"),
             }
         }
-        for waiting in taken {
+        for waiting in delivered {
             self.accept(number, waiting, now);
         }
-        self.work(number, now);
+        self.start_requests(number, now);
     }
 
-    fn work(&mut self, number: u8, now: ClockMillis) {
+    fn start_requests(&mut self, number: u8, now: ClockMillis) {
         let (_, _, target) = self.agents.get_mut(&agent(number)).expect("an agent");
-        let mut begun = Vec::new();
-        while target.working < SLOTS
+        let mut started = Vec::new();
+        while target.processing < SLOTS
             && let Some(flow) = target.queued.pop_front()
         {
-            target.working += 1;
-            begun.push(flow);
+            target.processing += 1;
+            started.push(flow);
         }
-        for flow in begun {
-            self.plan(
-                now.millis() + WORK_MILLIS,
+        for flow in started {
+            self.schedule(
+                now.millis() + SERVICE_TIME_MILLIS,
                 flow,
-                Step::Answer { at: number },
+                FlowEvent::Answer { target: number },
             );
         }
     }
 
-    fn in_goal(&self, ports: impl Iterator<Item = u16>) -> usize {
-        let answered = |port: u16| self.answered_in.get(&flow(port)).copied();
+    fn count_within_goal(&self, ports: impl Iterator<Item = u16>) -> usize {
+        let answered = |port: u16| self.answered_after.get(&flow(port)).copied();
         ports
-            .filter(|port| answered(*port).is_some_and(|spent| spent <= GOAL_MILLIS))
+            .filter(|port| answered(*port).is_some_and(|elapsed| elapsed <= GOAL_MILLIS))
             .count()
     }
 }
 
 #[test]
-fn requests_that_come_after_the_wave_are_answered_in_time() {
-    let mut model = WaveModel::new();
-    for port in 0..WAVE {
-        model.plan(0, flow(port), Step::Open);
+fn most_new_requests_after_a_burst_meet_their_goal() {
+    let mut model = BurstModel::new();
+    for port in 0..BURST {
+        model.schedule(0, flow(port), FlowEvent::Open);
     }
-    let fresh = WAVE..WAVE + FRESH;
-    for port in fresh.clone() {
-        let place = u64::from(port - WAVE);
-        let at = place * FRESH_MILLIS / u64::from(FRESH);
-        model.plan(at, flow(port), Step::Open);
+    let new_ports = BURST..BURST + NEW_REQUESTS;
+    for port in new_ports.clone() {
+        let index = u64::from(port - BURST);
+        let at = index * NEW_REQUESTS_MILLIS / u64::from(NEW_REQUESTS);
+        model.schedule(at, flow(port), FlowEvent::Open);
     }
     model.run();
-    let in_goal = model.in_goal(fresh);
-    // First come, first served would keep all of them behind the wave.
+    let within_goal = model.count_within_goal(new_ports);
+    // In arrival order, all of them would wait behind the burst.
     assert!(
-        in_goal * 10 >= usize::from(FRESH) * 8,
-        "{in_goal} of {FRESH} new requests were answered within {GOAL_MILLIS} ms"
+        within_goal * 10 >= usize::from(NEW_REQUESTS) * 8,
+        "{within_goal} of {NEW_REQUESTS} new requests were answered within {GOAL_MILLIS} ms"
     );
 }
--- a/src/flow/tests/overload.rs
+++ b/src/flow/tests/overload.rs
@@ -1,4 +1,5 @@
-//! A burst in which targets have no room: who is tried, who is refused, when.
+//! Openings that full targets bounce: which agents are tried, and when the caller is
+//! refused.
 
 use std::net::Ipv4Addr;
 
@@ -15,17 +16,17 @@
     ServiceTag::of("barge-control")
 }
 
-/// Hands an opening from agent to agent; the targets in `full` give it back.
+/// Sends an opening from agent to agent; the targets in `full` bounce it.
 ///
-/// Returns the agents that were asked and whether the caller was refused.
+/// Returns the agents that were tried and whether the caller was refused.
 fn offer(candidates: &[u8], full: &[u8]) -> (Vec<Ipv4Addr>, bool) {
     let opening = from_caller(flow(1), PacketSigns::OPEN);
     let agents = candidates.iter().copied().map(agent);
     let header = HopHeader::new(service(), BALANCER).with_candidates(agents);
-    let mut asked = Vec::new();
+    let mut tried = Vec::new();
     let mut hop = header.next_hop();
     while let Some((at, header)) = hop {
-        asked.push(at);
+        tried.push(at);
         let mut flows = AgentFlows::new(at, service(), 1, SpanMillis::new(60_000));
         flows.set_target(AgentTarget::Serving, None, START);
         let step = flows.take_frame(header, &opening, &[1], START);
@@ -33,30 +34,30 @@
             panic!("not delivered: {step:?}");
         };
         if !full.iter().any(|number| agent(*number) == at) {
-            return (asked, false);
+            return (tried, false);
         }
-        let back = bounced(flow(1), PacketSigns::OPEN, tag);
-        hop = match flows.take_answer(&back, START).action {
+        let bounce = bounced(flow(1), PacketSigns::OPEN, tag);
+        hop = match flows.take_answer(&bounce, START).action {
             AgentAction::PassOn { to, header } => Some((to, header)),
-            AgentAction::Reset(_) => return (asked, true),
+            AgentAction::Reset(_) => return (tried, true),
             other => panic!("neither passed on nor refused: {other:?}"),
         };
     }
-    (asked, false)
+    (tried, false)
 }
 
 #[test]
-fn a_burst_on_one_target_spills_to_the_next_with_room() {
-    let (asked, refused) = offer(&[1, 2, 3, 4], &[1, 2]);
-    assert_eq!(asked, [agent(1), agent(2), agent(3)]);
+fn an_opening_that_full_targets_bounce_goes_to_the_next_candidate() {
+    let (tried, refused) = offer(&[1, 2, 3, 4], &[1, 2]);
+    assert_eq!(tried, [agent(1), agent(2), agent(3)]);
     assert!(!refused);
 }
 
-/// No target has room: the caller learns at once that nothing has run, and no
-/// copy goes round in circles.
+/// If all targets are full, the caller is refused at once, since its request has run
+/// nowhere, and the opening does not circulate among the agents.
 #[test]
-fn an_opening_that_no_target_takes_is_refused_at_once_after_one_round() {
-    let (asked, refused) = offer(&[1, 2, 3, 4], &[1, 2, 3, 4]);
-    assert_eq!(asked.len(), 4);
+fn an_opening_that_every_target_bounces_is_refused_after_one_round() {
+    let (tried, refused) = offer(&[1, 2, 3, 4], &[1, 2, 3, 4]);
+    assert_eq!(tried.len(), 4);
     assert!(refused);
 }
--- a/src/flow/tests/request_ids.rs
+++ b/src/flow/tests/request_ids.rs
@@ -9,13 +9,13 @@
 #[case(b"GET / HTTP/1.1\r\nhost: a\r\n\r\n", None)]
 #[case(b"GET / HTTP/1.1\r\nX-Request-Id: cut", None)]
 #[case(b"", None)]
-fn an_id_is_found_in_the_head(#[case] data: &[u8], #[case] id: Option<&str>) {
+fn the_id_is_read_from_the_request_head(#[case] data: &[u8], #[case] id: Option<&str>) {
     assert_eq!(request_id(data), id);
 }
 
 proptest! {
     #[test]
-    fn arbitrary_data_does_no_harm(data: Vec<u8>) {
+    fn arbitrary_data_does_not_panic(data: Vec<u8>) {
         request_id(&data);
     }
 }
--- a/src/listener/tests/mod.rs
+++ b/src/listener/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the routes of listeners.
+//! Tests of the listener routes.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -12,7 +12,7 @@
 use crate::clock::{ClockMillis, SpanMillis};
 
 const START: ClockMillis = ClockMillis::new(1_000);
-const AGE: SpanMillis = SpanMillis::new(60_000);
+const FLOW_AGE: SpanMillis = SpanMillis::new(60_000);
 
 fn address(port: u16) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), port)
@@ -37,25 +37,25 @@
     }
 }
 
-fn command(version: u64, mark: u8) -> Vec<u8> {
+fn command(version: u64, content: u8) -> Vec<u8> {
     let stored = StoredManifest {
         manifest: manifest(version, Vec::new()),
-        document: vec![mark],
+        document: vec![content],
     };
     stored.encode().expect("encodable")
 }
 
 proptest! {
-    /// Whatever the order and however often they are sent, the highest version
-    /// is in force with the content that came first.
+    /// In whatever order and however often versions are applied, the highest one is
+    /// in force, with the content that was applied first.
     #[test]
     fn the_highest_version_wins(versions in proptest::collection::vec(1_u64..9, 1..24)) {
         let store = ListenerStore::new();
         let mut highest: Option<(u64, u8)> = None;
-        for (mark, version) in (0_u8..).zip(&versions) {
-            store.apply(&command(*version, mark));
+        for (content, version) in (0_u8..).zip(&versions) {
+            store.apply(&command(*version, content));
             if highest.is_none_or(|(held, _)| held < *version) {
-                highest = Some((*version, mark));
+                highest = Some((*version, content));
             }
             let held = store.current().expect("a manifest");
             prop_assert_eq!(Some((held.manifest.version, held.document[0])), highest);
@@ -66,7 +66,7 @@
     }
 
     #[test]
-    fn bytes_that_are_no_command_change_nothing(bytes: Vec<u8>) {
+    fn an_invalid_command_changes_nothing(bytes: Vec<u8>) {
         let store = ListenerStore::new();
         store.apply(&command(3, 1));
         let before = store.current();
@@ -78,8 +78,8 @@
 }
 
 #[test]
-fn a_table_never_goes_back() {
-    let mut table = ListenerTable::new(AGE);
+fn a_table_ignores_lower_and_equal_versions() {
+    let mut table = ListenerTable::new(FLOW_AGE);
     assert!(table.replace(&manifest(5, vec![route(1, "tavole")]), START));
     assert!(!table.replace(&manifest(4, Vec::new()), START));
     assert!(!table.replace(&manifest(5, Vec::new()), START));
@@ -88,8 +88,8 @@
 }
 
 #[test]
-fn former_services_are_remembered_for_as_long_as_flows_live() {
-    let mut table = ListenerTable::new(AGE);
+fn former_services_are_kept_for_the_age_of_flows() {
+    let mut table = ListenerTable::new(FLOW_AGE);
     table.replace(&manifest(1, vec![route(1, "tavole")]), START);
     table.replace(&manifest(2, vec![route(1, "raccolta")]), START);
     let choice = table.choose(address(1), 0, START).expect("a route");
@@ -98,7 +98,7 @@
         choice.owner_services,
         [ServiceTag::of("raccolta"), ServiceTag::of("tavole")]
     );
-    let later = START.after(AGE);
+    let later = START.after(FLOW_AGE);
     let choice = table.choose(address(1), 0, later).expect("a route");
     assert_eq!(choice.owner_services, [ServiceTag::of("raccolta")]);
 }
@@ -111,15 +111,15 @@
         service: ServiceTag::of("raccolta"),
         weight: 10,
     });
-    let mut table = ListenerTable::new(AGE);
+    let mut table = ListenerTable::new(FLOW_AGE);
     table.replace(&manifest(1, vec![split]), START);
-    let few = (0..1_000)
+    let minor_share = (0..1_000)
         .filter(|flow_hash| {
             let choice = table.choose(address(1), *flow_hash, START);
             choice.is_some_and(|choice| choice.new_flow_service == ServiceTag::of("raccolta"))
         })
         .count();
-    assert_eq!(few, 100);
+    assert_eq!(minor_share, 100);
 }
 
 #[rstest]
@@ -131,7 +131,10 @@
     vec![ListenerRoute { address: address(1), shares: Vec::new(), urgency: RouteUrgency::default() }],
     ListenerFault::NoWeight { route: "r0".to_owned() }
 )]
-fn a_faulty_manifest_is_refused(#[case] routes: Vec<ListenerRoute>, #[case] fault: ListenerFault) {
-    let names: Vec<String> = (0..routes.len()).map(|place| format!("r{place}")).collect();
+fn an_invalid_manifest_is_rejected(
+    #[case] routes: Vec<ListenerRoute>,
+    #[case] fault: ListenerFault,
+) {
+    let names: Vec<String> = (0..routes.len()).map(|index| format!("r{index}")).collect();
     assert_eq!(manifest(1, routes).check(&names), Err(fault));
 }
