--- a/src/flow/agent_flows.rs
+++ b/src/flow/agent_flows.rs
@@ -37,17 +37,17 @@
     /// Openings evicted from the queue, to be refused.
     pub(super) evicted: Vec<PendingOpening>,
     pub(super) ring: DeliveryRing,
-    pub(super) idle: SpanMillis,
+    pub(super) idle_timeout: SpanMillis,
 }
 
 impl AgentFlows {
     /// Creates the state of an agent that has just started. Flows that carry no
-    /// packet for `idle` are dropped.
+    /// packet for `idle_timeout` are dropped.
     pub(crate) fn new(
         own_address: Ipv4Addr,
         service: ServiceTag,
         first_tag: u32,
-        idle: SpanMillis,
+        idle_timeout: SpanMillis,
     ) -> Self {
         Self {
             own_address,
@@ -61,7 +61,7 @@
             queue: OpeningQueue::default(),
             evicted: Vec::new(),
             ring: DeliveryRing::new(first_tag),
-            idle,
+            idle_timeout,
         }
     }
 
@@ -70,8 +70,8 @@
     /// If the target ended or restarted, returns resets for its established
     /// flows: a caller that waits for an answer sends no packet that could be
     /// answered with one. Flows first seen at or after `cutoff` are kept, since
-    /// a restarted target that has not announced itself yet may hold them; if
-    /// it does not, it bounces their next packet.
+    /// a restarted target may have accepted them before it announced itself; if
+    /// it has not, it bounces their next packet.
     pub(crate) fn set_target(
         &mut self,
         target: AgentTarget,
@@ -237,9 +237,9 @@
 
     /// Drops idle flows.
     pub(crate) fn sweep(&mut self, now: ClockMillis) {
-        let idle = self.idle;
+        let idle_timeout = self.idle_timeout;
         self.tracked
-            .retain(|_, tracked| now.since(tracked.last_packet_at) < idle);
+            .retain(|_, tracked| now.since(tracked.last_packet_at) < idle_timeout);
     }
 
     fn track(&mut self, flow: FlowKey, balancer: Ipv4Addr, now: ClockMillis) {
--- a/src/flow/agent_step.rs
+++ b/src/flow/agent_step.rs
@@ -9,9 +9,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AgentTarget {
     /// The agent has just started and the target has not announced itself; it may
-    /// hold flows and may take new ones.
+    /// hold flows and may accept new ones.
     Unproved,
-    /// The target takes new flows.
+    /// The target accepts new flows.
     Serving,
     /// The target keeps its flows and gets no new ones.
     Leaving,
--- a/src/flow/balancer_flows.rs
+++ b/src/flow/balancer_flows.rs
@@ -25,7 +25,7 @@
 /// Number of candidates of an opening besides the first one.
 const OPENING_CANDIDATES: usize = 5;
 
-/// Flow state of a balancer, which decides what agent gets each packet.
+/// Flow state of a balancer, which decides which agent gets each packet.
 #[derive(Debug)]
 pub(crate) struct BalancerFlows {
     pub(super) own_address: Ipv4Addr,
@@ -52,15 +52,19 @@
 
 impl BalancerFlows {
     /// Creates the state of a balancer without routes or targets. Flows that
-    /// carry no packet for `idle` are dropped.
-    pub(crate) fn new(own_address: Ipv4Addr, table: ListenerTable, idle: SpanMillis) -> Self {
+    /// carry no packet for `idle_timeout` are dropped.
+    pub(crate) fn new(
+        own_address: Ipv4Addr,
+        table: ListenerTable,
+        idle_timeout: SpanMillis,
+    ) -> Self {
         Self {
             own_address,
             table,
             targets: KnownTargets::default(),
             lookups: PendingLookups::default(),
             last_lookup_id: 0,
-            owners: OwnerCache::new(idle),
+            owners: OwnerCache::new(idle_timeout),
             openings: PendingOpenings::new(REPORT_TIMEOUT_MILLIS),
             opening_agents: HashMap::new(),
             suspects: HashMap::new(),
--- a/src/flow/flow_info.rs
+++ b/src/flow/flow_info.rs
@@ -18,7 +18,7 @@
 /// The cached owner of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub(crate) struct FlowOwnerInfo {
-    /// The agent beside the flow's target.
+    /// The agent next to the flow's target.
     pub(crate) agent: Ipv4Addr,
     /// Whether the agent reported that it holds the flow.
     pub(crate) confirmed: bool,
--- a/src/flow/hop_frame.rs
+++ b/src/flow/hop_frame.rs
@@ -26,7 +26,7 @@
     /// The round of the owner lookup that the packet belongs to, zero without one.
     /// Reports repeat it, so that late ones are recognised.
     pub(crate) lookup_id: u32,
-    /// The time between the caller first sending the opening and the balancer
+    /// The time from the caller first sending the opening to the balancer first
     /// forwarding it.
     pub(crate) age: SpanMillis,
     /// The urgency of the route's requests; frames cap its times at 65.535 s.
@@ -128,7 +128,7 @@
         if candidate_count > MAX_CANDIDATES {
             return None;
         }
-        let (list, packet) = rest.split_at_mut_checked(candidate_count * 4)?;
+        let (candidates, packet) = rest.split_at_mut_checked(candidate_count * 4)?;
         let service = u64::from_be_bytes(fixed[4..12].try_into().ok()?);
         let balancer: [u8; 4] = fixed[12..16].try_into().ok()?;
         let span_at = |offset: usize| {
@@ -140,7 +140,7 @@
             goal: span_at(16),
             timeout: span_at(18),
         };
-        let agents = list
+        let agents = candidates
             .chunks_exact(4)
             .map(|octets| Ipv4Addr::new(octets[0], octets[1], octets[2], octets[3]));
         let mut header = HopHeader::new(ServiceTag::from_number(service), balancer.into())
--- a/src/flow/owner_cache.rs
+++ b/src/flow/owner_cache.rs
@@ -15,7 +15,7 @@
 /// The owner of a flow as known to a balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct FlowOwner {
-    /// The agent beside the flow's target.
+    /// The agent next to the flow's target.
     pub(crate) agent: Ipv4Addr,
     /// Whether that agent reported that it holds the flow.
     pub(crate) confirmed: bool,
@@ -28,15 +28,15 @@
 #[derive(Debug)]
 pub(crate) struct OwnerCache {
     owners: HashMap<FlowKey, FlowOwner>,
-    idle: SpanMillis,
+    idle_timeout: SpanMillis,
 }
 
 impl OwnerCache {
-    /// Creates a cache that drops flows without a packet for `idle`.
-    pub(crate) fn new(idle: SpanMillis) -> Self {
+    /// Creates a cache that drops flows without a packet for `idle_timeout`.
+    pub(crate) fn new(idle_timeout: SpanMillis) -> Self {
         Self {
             owners: HashMap::new(),
-            idle,
+            idle_timeout,
         }
     }
 
@@ -106,9 +106,9 @@
 
     /// Drops idle flows.
     pub(crate) fn sweep(&mut self, now: ClockMillis) {
-        let idle = self.idle;
+        let idle_timeout = self.idle_timeout;
         self.owners
-            .retain(|_, owner| now.since(owner.last_packet_at) < idle);
+            .retain(|_, owner| now.since(owner.last_packet_at) < idle_timeout);
     }
 
     /// Returns the number of flows.
--- a/src/flow/target_load.rs
+++ b/src/flow/target_load.rs
@@ -9,8 +9,8 @@
 /// How long an unanswered request counts as in flight; callers give up after
 /// a few seconds without an answer.
 const REQUEST_EXPIRY_MILLIS: SpanMillis = SpanMillis::new(3_000);
-/// Each answer has a weight of one eighth in the moving average, which so covers
-/// a few answers of each slot.
+/// Each answer has a weight of `1 / AVERAGE_DIVISOR` in the moving average, which
+/// covers a few answers of each slot.
 const AVERAGE_DIVISOR: u64 = 8;
 
 /// A request at the target, or capacity reserved for one.
--- a/src/flow/tests/agent_steps.rs
+++ b/src/flow/tests/agent_steps.rs
@@ -153,7 +153,7 @@
     let mut flows = flows();
     let opening = from_caller(flow(1), PacketSigns::OPEN);
     delivered_tag(flows.take_frame(header(&[2]), &opening, &[9], START).action);
-    let due = flows.next_due().expect("a watched opening");
+    let due = flows.next_due().expect("a pending opening");
     assert!(due.since(START) <= SpanMillis::new(50));
     let steps = flows.expire_openings(due);
     assert_eq!(steps.len(), 1);
@@ -176,7 +176,7 @@
     delivered_tag(flows.take_frame(header(&[2]), &opening, &[9], START).action);
     let later = START.after(SpanMillis::new(5));
     flows.take_answer(&from_target(flow(3), PacketSigns::ACKNOWLEDGE), later);
-    let due = flows.next_due().expect("a watched opening");
+    let due = flows.next_due().expect("a pending opening");
     assert_eq!(flows.expire_openings(due).len(), 1);
     assert!(!flows.is_suspect());
 }
--- a/src/flow/tests/balancer_startup.rs
+++ b/src/flow/tests/balancer_startup.rs
@@ -6,7 +6,9 @@
 
 use super::{
     BALANCER, agent,
-    balancer_verdicts::{AGE, START, known_targets, manifest, route, run_lookup, service, targets},
+    balancer_verdicts::{
+        FLOW_AGE, START, known_targets, manifest, route, run_lookup, service, targets,
+    },
     flow, from_caller,
 };
 use crate::{
@@ -19,7 +21,7 @@
 };
 
 fn started_balancer() -> BalancerFlows {
-    BalancerFlows::new(BALANCER, ListenerTable::new(AGE), AGE)
+    BalancerFlows::new(BALANCER, ListenerTable::new(FLOW_AGE), FLOW_AGE)
 }
 
 fn set_routes_and_targets(
--- a/src/flow/tests/balancer_verdicts.rs
+++ b/src/flow/tests/balancer_verdicts.rs
@@ -15,7 +15,7 @@
 
 pub(super) const START: ClockMillis = ClockMillis::new(1_000);
 const INCARNATION: IncarnationId = IncarnationId::new(3);
-pub(super) const AGE: SpanMillis = SpanMillis::new(60_000);
+pub(super) const FLOW_AGE: SpanMillis = SpanMillis::new(60_000);
 
 pub(super) fn service() -> ServiceTag {
     ServiceTag::of("barge-control")
@@ -62,9 +62,9 @@
 
 /// Returns a balancer with one route to targets 1 to 5.
 pub(super) fn balancer() -> BalancerFlows {
-    let mut table = ListenerTable::new(AGE);
+    let mut table = ListenerTable::new(FLOW_AGE);
     table.replace(&manifest(1, vec![route(service())]), START);
-    let mut flows = BalancerFlows::new(BALANCER, table, AGE);
+    let mut flows = BalancerFlows::new(BALANCER, table, FLOW_AGE);
     let agents = [1, 2, 3, 4, 5];
     flows.set_targets(known_targets(HashMap::from([(
         service(),
@@ -81,12 +81,16 @@
     }
 }
 
-fn open(flows: &mut BalancerFlows, port: u16, now: ClockMillis) -> (Ipv4Addr, Vec<Ipv4Addr>) {
+fn send_opening(
+    flows: &mut BalancerFlows,
+    port: u16,
+    now: ClockMillis,
+) -> (Ipv4Addr, Vec<Ipv4Addr>) {
     let opening = from_caller(flow(port), PacketSigns::OPEN);
     forwarded(flows.take_packet(&opening, &[1], now))
 }
 
-fn continued(flows: &mut BalancerFlows, port: u16) -> (Ipv4Addr, Vec<Ipv4Addr>) {
+fn send_data(flows: &mut BalancerFlows, port: u16) -> (Ipv4Addr, Vec<Ipv4Addr>) {
     let data = from_caller(flow(port), PacketSigns::ACKNOWLEDGE);
     forwarded(flows.take_packet(&data, &[1], START))
 }
@@ -112,17 +116,17 @@
 #[test]
 fn packets_follow_the_agent_that_reported_the_flow() {
     let mut flows = balancer();
-    let (first, candidates) = open(&mut flows, 1, START);
+    let (first, candidates) = send_opening(&mut flows, 1, START);
     let holder = candidates[1];
     assert_ne!(first, holder);
     flows.take_report(&report(1, holder, ReportKind::Held), START);
-    assert_eq!(continued(&mut flows, 1), (holder, Vec::new()));
+    assert_eq!(send_data(&mut flows, 1), (holder, Vec::new()));
 }
 
 #[test]
 fn every_balancer_looks_up_an_owner_in_the_same_order() {
-    let (first, candidates) = open(&mut balancer(), 1, START);
-    let (asked, others) = continued(&mut balancer(), 1);
+    let (first, candidates) = send_opening(&mut balancer(), 1, START);
+    let (asked, others) = send_data(&mut balancer(), 1);
     assert_eq!(asked, first);
     assert!(candidates.iter().all(|agent| others.contains(agent)));
 }
@@ -131,9 +135,9 @@
 fn a_flow_that_its_agent_does_not_hold_is_looked_up_again() {
     let mut flows = balancer();
     flows.take_report(&report(1, agent(9), ReportKind::Held), START);
-    assert_eq!(continued(&mut flows, 1).0, agent(9));
+    assert_eq!(send_data(&mut flows, 1).0, agent(9));
     flows.take_report(&report(1, agent(9), ReportKind::NotHeld), START);
-    let (asked, others) = continued(&mut flows, 1);
+    let (asked, others) = send_data(&mut flows, 1);
     assert_ne!(asked, agent(9));
     assert_eq!(others.len(), 4);
 }
@@ -141,14 +145,14 @@
 #[test]
 fn a_retransmitted_opening_goes_to_the_agent_of_the_first_one() {
     let mut flows = balancer();
-    let (first, _) = open(&mut flows, 1, START);
+    let (first, _) = send_opening(&mut flows, 1, START);
     let agents = [1, 2, 3, 4, 5, 6, 7, 8];
     flows.set_targets(known_targets(HashMap::from([(
         service(),
         targets(&agents, &agents),
     )])));
     assert_eq!(
-        open(&mut flows, 1, START.after(SpanMillis::new(30))).0,
+        send_opening(&mut flows, 1, START.after(SpanMillis::new(30))).0,
         first
     );
 }
@@ -156,31 +160,31 @@
 #[test]
 fn an_unreported_opening_goes_to_the_next_candidate_and_its_agent_is_avoided() {
     let mut flows = balancer();
-    let (silent, candidates) = open(&mut flows, 1, START);
-    let due = flows.next_due().expect("a watched opening");
+    let (silent, candidates) = send_opening(&mut flows, 1, START);
+    let due = flows.next_due().expect("a pending opening");
     assert!(due.since(START) <= SpanMillis::new(100));
     let resent = flows.expire_openings(due);
     assert_eq!(resent.len(), 1);
     assert_eq!(resent[0].2, candidates[0]);
-    let avoided = (2..200).all(|port| open(&mut flows, port, due).0 != silent);
+    let avoided = (2..200).all(|port| send_opening(&mut flows, port, due).0 != silent);
     assert!(avoided);
     // A report of the agent ends the suspicion.
     flows.take_report(&report(900, silent, ReportKind::Held), due);
-    assert!((200..400).any(|port| open(&mut flows, port, due).0 == silent));
+    assert!((200..400).any(|port| send_opening(&mut flows, port, due).0 == silent));
 }
 
 #[test]
 fn a_target_that_accepts_no_new_flows_is_still_asked_in_lookups() {
     let mut flows = balancer();
-    let (owner, _) = open(&mut flows, 1, START);
+    let (owner, _) = send_opening(&mut flows, 1, START);
     let others: Vec<u8> = (1..6).filter(|number| agent(*number) != owner).collect();
     flows.set_targets(known_targets(HashMap::from([(
         service(),
         targets(&others, &[1, 2, 3, 4, 5]),
     )])));
-    let (asked, more) = continued(&mut flows, 1);
+    let (asked, more) = send_data(&mut flows, 1);
     assert!(asked == owner || more.contains(&owner));
-    let (next, _) = open(&mut flows, 2, START);
+    let (next, _) = send_opening(&mut flows, 2, START);
     assert_ne!(next, owner);
 }
 
@@ -195,8 +199,8 @@
         (service(), targets(&[1], &[1])),
         (other, targets(&[8], &[8])),
     ])));
-    assert_eq!(open(&mut flows, 2, START).0, agent(8));
-    let (asked, others) = continued(&mut flows, 1);
+    assert_eq!(send_opening(&mut flows, 2, START).0, agent(8));
+    let (asked, others) = send_data(&mut flows, 1);
     assert_eq!((asked, others), (agent(8), vec![agent(1)]));
 }
 
@@ -217,7 +221,7 @@
 
 #[test]
 fn an_opening_is_parked_before_the_first_routes_are_known() {
-    let mut flows = BalancerFlows::new(BALANCER, ListenerTable::new(AGE), AGE);
+    let mut flows = BalancerFlows::new(BALANCER, ListenerTable::new(FLOW_AGE), FLOW_AGE);
     flows.set_current(true);
     let opening = from_caller(flow(1), PacketSigns::OPEN);
     let verdict = flows.take_packet(&opening, &[1], START);
@@ -261,10 +265,10 @@
 #[test]
 fn a_flow_that_no_target_holds_is_reset_after_each_was_asked_once() {
     let mut flows = balancer();
-    let many: Vec<u8> = (1..43).collect();
+    let agents: Vec<u8> = (1..43).collect();
     flows.set_targets(known_targets(HashMap::from([(
         service(),
-        targets(&many, &many),
+        targets(&agents, &agents),
     )])));
     let (mut asked, end) = run_lookup(&mut flows);
     assert!(matches!(end, ReportStep::Reset(reset) if reset.flow == flow(1)));
@@ -319,7 +323,7 @@
     let mut flows = balancer();
     flows.take_report(&report(1, agent(2), ReportKind::Held), START);
     flows.take_report(&not_held(agent(3), 0), START);
-    assert_eq!(continued(&mut flows, 1), (agent(2), Vec::new()));
+    assert_eq!(send_data(&mut flows, 1), (agent(2), Vec::new()));
 }
 
 #[test]
@@ -366,7 +370,7 @@
         id: Some(IncarnationId::new(4)),
         ended: false,
     });
-    let (asked, others) = continued(&mut flows, 1);
+    let (asked, others) = send_data(&mut flows, 1);
     assert_eq!(asked, agent(2));
     assert_eq!(others.len(), 2);
     // If no target holds the flow, it is reset.
@@ -384,16 +388,16 @@
     };
     targets.incarnations.insert(agent(2), same);
     flows.set_targets(targets);
-    assert_eq!(continued(&mut flows, 1).0, agent(2));
+    assert_eq!(send_data(&mut flows, 1).0, agent(2));
 }
 
 #[test]
 fn a_balancer_without_reports_is_isolated_until_an_agent_reports() {
     let mut flows = balancer();
-    open(&mut flows, 1, START);
+    send_opening(&mut flows, 1, START);
     for _ in 0..4 {
         assert!(!flows.is_isolated());
-        let due = flows.next_due().expect("a watched opening");
+        let due = flows.next_due().expect("a pending opening");
         assert_eq!(flows.expire_openings(due).len(), 1);
     }
     assert!(flows.is_isolated());
--- a/src/flow/tests/full_target.rs
+++ b/src/flow/tests/full_target.rs
@@ -88,8 +88,8 @@
 fn admitted(flows: &mut AgentFlows, now: ClockMillis) -> Vec<u16> {
     let mut ports = Vec::new();
     while let Some(end) = flows.next_waiting(now) {
-        let taken = matches!(end.step.action, AgentAction::Deliver { .. });
-        assert!(taken, "{end:?}");
+        let delivered = matches!(end.step.action, AgentAction::Deliver { .. });
+        assert!(delivered, "{end:?}");
         ports.push(end.flow.caller.port());
     }
     ports
@@ -178,7 +178,7 @@
     offer(&mut flows, 9, 2, START);
     assert_eq!(flows.next_waiting(at(900)), None);
     assert!(flows.next_due().is_some_and(|due| due <= at(1_000)));
-    let end = flows.next_waiting(at(1_000)).expect("an end of the wait");
+    let end = flows.next_waiting(at(1_000)).expect("a refusal");
     assert_eq!((end.flow, end.waited.millis()), (flow(9), 1_000));
     assert!(matches!(end.step.action, AgentAction::Reset(_)));
     let kind = end.step.report.map(|(_, report)| report.kind);
@@ -194,7 +194,7 @@
     offer(&mut flows, 9, 2, START);
     flows.set_target(target, None, START);
     flows.take_answer(&answer(flow(1)), at(10));
-    let end = flows.next_waiting(at(10)).expect("an end of the wait");
+    let end = flows.next_waiting(at(10)).expect("a refusal");
     assert!(matches!(end.step.action, AgentAction::Reset(_)));
     assert_eq!(flows.next_waiting(at(10)), None);
 }
--- a/src/listener/tests/mod.rs
+++ b/src/listener/tests/mod.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn former_services_are_kept_for_the_age_of_flows() {
+fn former_services_are_kept_until_their_flows_expire() {
     let mut table = ListenerTable::new(FLOW_AGE);
     table.replace(&manifest(1, vec![route(1, "tavole")]), START);
     table.replace(&manifest(2, vec![route(1, "raccolta")]), START);
