--- a/src/directory/directory_news.rs
+++ b/src/directory/directory_news.rs
@@ -17,6 +17,7 @@
     /// The position after these changes.
     pub(crate) place: DirectoryPlace,
     /// Whether the records are the full directory.
+    #[serde(rename = "whole")]
     pub(crate) full: bool,
     /// Whether the directory has heard from every running agent.
     pub(crate) settled: bool,
--- a/src/flow/flow_report.rs
+++ b/src/flow/flow_report.rs
@@ -29,6 +29,7 @@
     /// The incarnation of its target, if the target has announced itself.
     pub(crate) incarnation: Option<IncarnationId>,
     /// The round of the owner lookup from the packet's frame, zero without one.
+    #[serde(rename = "walk")]
     pub(crate) lookup_id: u32,
     pub(crate) kind: ReportKind,
 }
