--- a/src/control/replica/candidate_state.rs
+++ b/src/control/replica/candidate_state.rs
@@ -17,16 +17,16 @@
 #[derive(Debug)]
 pub(crate) struct CandidateState {
     /// Whether the term is only tried.
-    pub(crate) trial: bool,
+    pub(crate) pre_vote: bool,
     /// Who has given its vote, the candidate included.
     pub(crate) votes: BTreeSet<DiskId>,
 }
 
 impl CandidateState {
     /// Creates a candidate that has its own vote.
-    pub(crate) fn new(own: DiskId, trial: bool) -> Self {
+    pub(crate) fn new(own: DiskId, pre_vote: bool) -> Self {
         Self {
-            trial,
+            pre_vote,
             votes: BTreeSet::from([own]),
         }
     }
--- a/src/control/replica/disk_queue.rs
+++ b/src/control/replica/disk_queue.rs
@@ -25,7 +25,7 @@
 
 /// A message that must not leave before a batch is synced.
 #[derive(Debug, Clone)]
-pub(crate) struct HeldMessage {
+pub(crate) struct DeferredMessage {
     /// The place of the peer.
     pub(crate) to: ReplicaId,
     /// The message.
@@ -37,7 +37,7 @@
 struct SyncInFlight {
     token: SyncToken,
     last_index: Option<LogIndex>,
-    held: Vec<HeldMessage>,
+    deferred: Vec<DeferredMessage>,
 }
 
 /// Gathers what has to be synced; one batch is under way at a time, and what
@@ -46,26 +46,26 @@
 pub(crate) struct DiskQueue {
     batch: DiskBatch,
     dirty: bool,
-    held: Vec<HeldMessage>,
+    deferred: Vec<DeferredMessage>,
     in_flight: Option<SyncInFlight>,
-    durable: LogIndex,
+    durable_index: LogIndex,
 }
 
 impl DiskQueue {
-    /// Creates a queue for a data folder that holds the log up to `durable`.
-    pub(crate) fn new(durable: LogIndex) -> Self {
+    /// Creates a queue for a data folder that holds the log up to `durable_index`.
+    pub(crate) fn new(durable_index: LogIndex) -> Self {
         Self {
             batch: DiskBatch::default(),
             dirty: false,
-            held: Vec::new(),
+            deferred: Vec::new(),
             in_flight: None,
-            durable,
+            durable_index,
         }
     }
 
     /// Returns the last entry that is synced.
-    pub(crate) fn durable(&self) -> LogIndex {
-        self.durable
+    pub(crate) fn durable_index(&self) -> LogIndex {
+        self.durable_index
     }
 
     /// Adds a new term, vote or group.
@@ -84,7 +84,7 @@
     pub(crate) fn save_entry(&mut self, entry: LogEntry) {
         let first = entry.index;
         self.batch.entries.retain(|earlier| earlier.index < first);
-        self.durable = self.durable.min(first.previous());
+        self.durable_index = self.durable_index.min(first.previous());
         if let Some(sync) = &mut self.in_flight {
             sync.last_index = sync.last_index.map(|last| last.min(first.previous()));
         }
@@ -103,7 +103,7 @@
     pub(crate) fn replace_log(&mut self, snapshot: GroupSnapshot) {
         self.batch.entries.clear();
         self.batch.resets_log = true;
-        self.durable = LogIndex::ZERO;
+        self.durable_index = LogIndex::ZERO;
         if let Some(sync) = &mut self.in_flight {
             sync.last_index = None;
         }
@@ -114,17 +114,17 @@
     /// Holds a message back until everything added so far is synced.
     ///
     /// Returns the message if nothing is to be waited for.
-    pub(crate) fn hold(&mut self, held: HeldMessage) -> Option<HeldMessage> {
+    pub(crate) fn defer(&mut self, deferred: DeferredMessage) -> Option<DeferredMessage> {
         if self.dirty {
-            self.held.push(held);
+            self.deferred.push(deferred);
             return None;
         }
         match &mut self.in_flight {
             Some(sync) => {
-                sync.held.push(held);
+                sync.deferred.push(deferred);
                 None
             }
-            None => Some(held),
+            None => Some(deferred),
         }
     }
 
@@ -149,20 +149,20 @@
         self.in_flight = Some(SyncInFlight {
             token,
             last_index: entry_index.or(snapshot_index),
-            held: std::mem::take(&mut self.held),
+            deferred: std::mem::take(&mut self.deferred),
         });
         self.dirty = false;
         Some(batch)
     }
 
     /// Notes that a batch is synced; returns the messages that may leave.
-    pub(crate) fn finish(&mut self, token: SyncToken) -> Vec<HeldMessage> {
+    pub(crate) fn finish(&mut self, token: SyncToken) -> Vec<DeferredMessage> {
         let Some(sync) = self.in_flight.take_if(|sync| sync.token == token) else {
             return Vec::new();
         };
         if let Some(last) = sync.last_index {
-            self.durable = self.durable.max(last);
+            self.durable_index = self.durable_index.max(last);
         }
-        sync.held
+        sync.deferred
     }
 }
--- a/src/control/replica/election.rs
+++ b/src/control/replica/election.rs
@@ -2,7 +2,7 @@
 //! depose a leader that a majority hears.
 
 use super::{
-    DiskId, EntryBody, LogIndex, PeerBody, ReplicaCore, ReplicaReport, ReplicaSeat, TermNumber,
+    DiskId, EntryBody, LogIndex, MemberId, PeerBody, ReplicaCore, ReplicaReport, TermNumber,
     candidate_state::{CandidateState, CoreRole},
     leader_state::LeaderState,
     limits::{ELECTION_MAX_MILLIS, ELECTION_MIN_MILLIS},
@@ -11,42 +11,42 @@
 
 impl ReplicaCore {
     /// Asks whether an election could be won, without a new term.
-    pub(super) fn start_trial(&mut self, now: ClockMillis) {
+    pub(super) fn start_pre_vote(&mut self, now: ClockMillis) {
         self.leader = None;
         if !self.log.members().is_voter(self.hard_state.disk) {
-            self.reset_election(now);
+            self.reset_election_timer(now);
             return;
         }
-        self.reset_retry(now);
+        self.schedule_election_retry(now);
         self.role = CoreRole::Candidate(CandidateState::new(self.hard_state.disk, true));
-        self.ask_votes(true, false, self.hard_state.term.next());
+        self.request_votes(true, false, self.hard_state.term.next());
         self.count_votes(now);
     }
 
     /// Asks for votes in a new term.
-    pub(super) fn start_election(&mut self, urged: bool, now: ClockMillis) {
+    pub(super) fn start_election(&mut self, leadership_transfer: bool, now: ClockMillis) {
         self.hard_state.term = self.hard_state.term.next();
         self.hard_state.voted_for = Some(self.hard_state.disk);
         self.disk.save_hard_state(self.hard_state);
         self.role = CoreRole::Candidate(CandidateState::new(self.hard_state.disk, false));
-        self.reset_retry(now);
-        self.ask_votes(false, urged, self.hard_state.term);
+        self.schedule_election_retry(now);
+        self.request_votes(false, leadership_transfer, self.hard_state.term);
         self.count_votes(now);
     }
 
-    fn ask_votes(&mut self, trial: bool, urged: bool, term: TermNumber) {
-        let voters: Vec<ReplicaSeat> = self.log.members().voters().collect();
-        for seat in voters {
-            if seat.disk == self.hard_state.disk {
+    fn request_votes(&mut self, pre_vote: bool, leadership_transfer: bool, term: TermNumber) {
+        let voters: Vec<MemberId> = self.log.members().voters().collect();
+        for member_id in voters {
+            if member_id.disk == self.hard_state.disk {
                 continue;
             }
-            let body = PeerBody::VoteAsked {
-                trial,
-                urged,
+            let body = PeerBody::VoteRequest {
+                pre_vote,
+                leadership_transfer,
                 last_index: self.log.last_index(),
                 last_term: self.log.last_term(),
             };
-            self.send_synced_in(term, seat, body);
+            self.send_after_sync_in(term, member_id, body);
         }
     }
 
@@ -62,7 +62,7 @@
         {
             return;
         }
-        if candidate.trial {
+        if candidate.pre_vote {
             self.start_election(false, now);
         } else {
             self.become_leader(now);
@@ -73,27 +73,27 @@
         let term = self.hard_state.term;
         let last_index = self.log.last_index();
         let mut leader = LeaderState::new(term, last_index, now);
-        leader.sync_members(self.log.members(), self.hard_state.disk, last_index, now);
+        leader.update_members(self.log.members(), self.hard_state.disk, last_index, now);
         self.role = CoreRole::Leader(Box::new(leader));
-        self.leader = Some(self.seat());
+        self.leader = Some(self.member_id());
         self.report(ReplicaReport::LeaderElected { term });
-        self.append_own(EntryBody::Empty);
-        self.send_round(now);
+        self.append_entry(EntryBody::Empty);
+        self.send_heartbeats(now);
     }
 
     /// Answers a request for a vote.
-    pub(super) fn answer_vote(
+    pub(super) fn handle_vote_request(
         &mut self,
-        from: ReplicaSeat,
-        trial: bool,
+        from: MemberId,
+        pre_vote: bool,
         term: TermNumber,
         last: (TermNumber, LogIndex),
         now: ClockMillis,
     ) {
         let current = last >= (self.log.last_term(), self.log.last_index());
-        if trial {
+        if pre_vote {
             let granted = current && term > self.hard_state.term;
-            self.send_synced_in(term, from, PeerBody::VoteGiven { trial, granted });
+            self.send_after_sync_in(term, from, PeerBody::VoteResponse { pre_vote, granted });
             return;
         }
         let free = match self.hard_state.voted_for {
@@ -104,27 +104,27 @@
         if granted {
             self.hard_state.voted_for = Some(from.disk);
             self.disk.save_hard_state(self.hard_state);
-            self.reset_election(now);
+            self.reset_election_timer(now);
         }
-        self.send_synced_in(term, from, PeerBody::VoteGiven { trial, granted });
+        self.send_after_sync_in(term, from, PeerBody::VoteResponse { pre_vote, granted });
     }
 
     /// Returns whether a leader was heard so lately that no vote is given.
-    pub(super) fn hears_leader(&self, now: ClockMillis) -> bool {
+    pub(super) fn has_recent_leader(&self, now: ClockMillis) -> bool {
         match self.role {
             CoreRole::Leader(_) => true,
             CoreRole::Candidate(_) => false,
             CoreRole::Follower => {
-                self.leader.is_some() && now.since(self.leader_heard_at) < ELECTION_MIN_MILLIS
+                self.leader.is_some() && now.since(self.leader_contact_at) < ELECTION_MIN_MILLIS
             }
         }
     }
 
     /// Counts a vote for this candidate.
-    pub(super) fn take_vote(
+    pub(super) fn handle_vote_response(
         &mut self,
         from: DiskId,
-        trial: bool,
+        pre_vote: bool,
         term: TermNumber,
         now: ClockMillis,
     ) {
@@ -132,8 +132,8 @@
         let CoreRole::Candidate(candidate) = &mut self.role else {
             return;
         };
-        let asked = if trial { own_term.next() } else { own_term };
-        if candidate.trial != trial || term != asked {
+        let asked = if pre_vote { own_term.next() } else { own_term };
+        if candidate.pre_vote != pre_vote || term != asked {
             return;
         }
         candidate.votes.insert(from);
@@ -148,31 +148,30 @@
         let own = self.hard_state.disk;
         let heard = |disk: DiskId| {
             disk == own
-                || leader
-                    .progress
-                    .get(&disk)
-                    .is_some_and(|progress| now.since(progress.heard_at) < ELECTION_MAX_MILLIS)
+                || leader.progress.get(&disk).is_some_and(|progress| {
+                    now.since(progress.last_contact_at) < ELECTION_MAX_MILLIS
+                })
         };
         if self.log.members().has_majority(heard) {
             return;
         }
-        if let Some(term) = self.resign() {
+        if let Some(term) = self.step_down() {
             self.report(ReplicaReport::QuorumLost { term });
         }
-        self.reset_election(now);
+        self.reset_election_timer(now);
     }
 
     /// Stops leading or running for votes; returns the term that was led.
     ///
     /// Every proposal that waits is answered as unknown, every read is refused.
-    pub(super) fn resign(&mut self) -> Option<TermNumber> {
+    pub(super) fn step_down(&mut self) -> Option<TermNumber> {
         let role = std::mem::replace(&mut self.role, CoreRole::Follower);
         let CoreRole::Leader(leader) = role else {
             return None;
         };
         self.leader = None;
         let term = leader.term;
-        self.abandon(*leader);
+        self.fail_pending(*leader);
         Some(term)
     }
 }
--- a/src/control/replica/read_forward.rs
+++ b/src/control/replica/follower_reads.rs
@@ -1,14 +1,14 @@
 //! Reads at a follower: the leader confirms, the follower answers.
 
 use super::{
-    LogIndex, PeerBody, ReadKey, ReadOutcome, ReplicaCore, ReplicaSeat,
-    limits::{MAX_PENDING_READS, READ_DEADLINE_MILLIS},
+    LogIndex, MemberId, PeerBody, ReadKey, ReadOutcome, ReplicaCore,
+    limits::{MAX_PENDING_READS, READ_TIMEOUT_MILLIS},
 };
 use crate::clock::ClockMillis;
 
 /// The reads that the leader was asked to confirm, under one name.
 #[derive(Debug)]
-struct ForwardedReads {
+struct RequestedReads {
     sequence: u64,
     deadline: ClockMillis,
     keys: Vec<ReadKey>,
@@ -24,76 +24,76 @@
 
 /// What a follower keeps of its clients' reads.
 #[derive(Debug, Default)]
-pub(crate) struct ReadForward {
+pub(crate) struct FollowerReads {
     sequence: u64,
-    asked: Option<ForwardedReads>,
+    requested: Option<RequestedReads>,
     queued: Vec<ReadKey>,
     confirmed: Vec<ConfirmedReads>,
 }
 
-impl ReadForward {
+impl FollowerReads {
     fn len(&self) -> usize {
-        let asked = self.asked.as_ref().map_or(0, |reads| reads.keys.len());
+        let requested = self.requested.as_ref().map_or(0, |reads| reads.keys.len());
         let confirmed: usize = self.confirmed.iter().map(|reads| reads.keys.len()).sum();
-        asked + confirmed + self.queued.len()
+        requested + confirmed + self.queued.len()
     }
 }
 
 impl ReplicaCore {
     /// Hands a read on to the leader, with those that came in meanwhile.
-    pub(super) fn forward_read(&mut self, key: ReadKey, leader: ReplicaSeat, now: ClockMillis) {
-        if self.forward.len() >= MAX_PENDING_READS {
+    pub(super) fn forward_read(&mut self, key: ReadKey, leader: MemberId, now: ClockMillis) {
+        if self.follower_reads.len() >= MAX_PENDING_READS {
             self.answer_read(key, ReadOutcome::Overloaded);
             return;
         }
-        self.forward.queued.push(key);
+        self.follower_reads.queued.push(key);
         self.forward_queued(leader, now);
     }
 
-    fn forward_queued(&mut self, leader: ReplicaSeat, now: ClockMillis) {
-        if self.forward.asked.is_some() || self.forward.queued.is_empty() {
+    fn forward_queued(&mut self, leader: MemberId, now: ClockMillis) {
+        if self.follower_reads.requested.is_some() || self.follower_reads.queued.is_empty() {
             return;
         }
-        self.forward.sequence += 1;
-        let sequence = self.forward.sequence;
-        self.forward.asked = Some(ForwardedReads {
+        self.follower_reads.sequence += 1;
+        let sequence = self.follower_reads.sequence;
+        self.follower_reads.requested = Some(RequestedReads {
             sequence,
-            deadline: now.after(READ_DEADLINE_MILLIS),
-            keys: std::mem::take(&mut self.forward.queued),
+            deadline: now.after(READ_TIMEOUT_MILLIS),
+            keys: std::mem::take(&mut self.follower_reads.queued),
         });
-        self.send(leader, PeerBody::ReadAsked { sequence });
+        self.send(leader, PeerBody::ReadIndexRequest { sequence });
     }
 
     /// Takes the leader's answer.
-    pub(super) fn finish_forward(
+    pub(super) fn handle_read_index_response(
         &mut self,
         sequence: u64,
         index: Option<LogIndex>,
         now: ClockMillis,
     ) {
-        let asked = &mut self.forward.asked;
-        let Some(reads) = asked.take_if(|reads| reads.sequence == sequence) else {
+        let requested = &mut self.follower_reads.requested;
+        let Some(reads) = requested.take_if(|reads| reads.sequence == sequence) else {
             return;
         };
         match index {
-            Some(index) => self.forward.confirmed.push(ConfirmedReads {
+            Some(index) => self.follower_reads.confirmed.push(ConfirmedReads {
                 index,
                 deadline: reads.deadline,
                 keys: reads.keys,
             }),
             None => self.refuse_all(reads.keys),
         }
-        self.release_forward();
+        self.answer_applied_reads();
         if let Some(leader) = self.leader {
             self.forward_queued(leader, now);
         }
     }
 
     /// Answers the reads for which enough is applied.
-    pub(super) fn release_forward(&mut self) {
+    pub(super) fn answer_applied_reads(&mut self) {
         let applied = self.applied;
         let ready: Vec<ConfirmedReads> = self
-            .forward
+            .follower_reads
             .confirmed
             .extract_if(.., |reads| reads.index <= applied)
             .collect();
@@ -106,14 +106,14 @@
 
     /// Refuses the reads that have waited too long.
     pub(super) fn expire_reads(&mut self, now: ClockMillis) {
-        let asked = &mut self.forward.asked;
-        if let Some(reads) = asked.take_if(|reads| now >= reads.deadline) {
+        let requested = &mut self.follower_reads.requested;
+        if let Some(reads) = requested.take_if(|reads| now >= reads.deadline) {
             self.refuse_all(reads.keys);
-            let queued = std::mem::take(&mut self.forward.queued);
+            let queued = std::mem::take(&mut self.follower_reads.queued);
             self.refuse_all(queued);
         }
         let late: Vec<ConfirmedReads> = self
-            .forward
+            .follower_reads
             .confirmed
             .extract_if(.., |reads| now >= reads.deadline)
             .collect();
--- a/src/control/replica/group_members.rs
+++ b/src/control/replica/group_members.rs
@@ -1,10 +1,10 @@
 use serde::{Deserialize, Serialize};
 
-use super::{DiskId, ReplicaId, ReplicaSeat};
+use super::{DiskId, MemberId, ReplicaId};
 
 /// Whether a member counts in majorities.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum MemberVote {
+pub(crate) enum VotingStatus {
     /// It votes and its copy counts.
     Voter,
     /// It receives the log and does not count yet.
@@ -15,9 +15,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct GroupMember {
     /// The replica and its data folder.
-    pub(crate) seat: ReplicaSeat,
+    pub(crate) id: MemberId,
     /// Whether it counts.
-    pub(crate) vote: MemberVote,
+    pub(crate) voting_status: VotingStatus,
 }
 
 /// The members of the group as one entry of the log sets them.
@@ -28,12 +28,12 @@
 
 impl GroupMembers {
     /// Creates a group in which every seat votes.
-    pub(crate) fn new(seats: impl IntoIterator<Item = ReplicaSeat>) -> Self {
-        let members = seats
+    pub(crate) fn new(member_ids: impl IntoIterator<Item = MemberId>) -> Self {
+        let members = member_ids
             .into_iter()
-            .map(|seat| GroupMember {
-                seat,
-                vote: MemberVote::Voter,
+            .map(|id| GroupMember {
+                id,
+                voting_status: VotingStatus::Voter,
             })
             .collect();
         Self { members }
@@ -46,33 +46,36 @@
 
     /// Returns the member with this data folder.
     pub(crate) fn find(&self, disk: DiskId) -> Option<&GroupMember> {
-        self.members.iter().find(|member| member.seat.disk == disk)
+        self.members.iter().find(|member| member.id.disk == disk)
     }
 
     /// Returns whether the data folder votes.
     pub(crate) fn is_voter(&self, disk: DiskId) -> bool {
         self.find(disk)
-            .is_some_and(|member| member.vote == MemberVote::Voter)
+            .is_some_and(|member| member.voting_status == VotingStatus::Voter)
     }
 
     /// Returns the voter on this place other than `disk`.
-    pub(crate) fn other_voter(&self, replica: ReplicaId, disk: DiskId) -> Option<ReplicaSeat> {
+    pub(crate) fn other_voter(&self, replica: ReplicaId, disk: DiskId) -> Option<MemberId> {
         self.voters()
-            .find(|seat| seat.replica == replica && seat.disk != disk)
+            .find(|member_id| member_id.replica == replica && member_id.disk != disk)
     }
 
-    /// Returns the seats that vote.
-    pub(crate) fn voters(&self) -> impl Iterator<Item = ReplicaSeat> {
+    /// Returns the member_ids that vote.
+    pub(crate) fn voters(&self) -> impl Iterator<Item = MemberId> {
         self.members
             .iter()
-            .filter(|member| member.vote == MemberVote::Voter)
-            .map(|member| member.seat)
+            .filter(|member| member.voting_status == VotingStatus::Voter)
+            .map(|member| member.id)
     }
 
     /// Returns whether a majority of the voters satisfies `holds`.
     pub(crate) fn has_majority(&self, mut holds: impl FnMut(DiskId) -> bool) -> bool {
         let voters = self.voters().count();
-        let holding = self.voters().filter(|seat| holds(seat.disk)).count();
+        let holding = self
+            .voters()
+            .filter(|member_id| holds(member_id.disk))
+            .count();
         voters > 0 && holding * 2 > voters
     }
 
@@ -81,7 +84,11 @@
         &self,
         value: impl FnMut(DiskId) -> T,
     ) -> T {
-        let mut values: Vec<T> = self.voters().map(|seat| seat.disk).map(value).collect();
+        let mut values: Vec<T> = self
+            .voters()
+            .map(|member_id| member_id.disk)
+            .map(value)
+            .collect();
         values.sort_unstable_by(|left, right| right.cmp(left));
         values.get(values.len() / 2).copied().unwrap_or_default()
     }
@@ -89,14 +96,14 @@
     /// Returns the group with a learner on this seat; it takes the place of an
     /// earlier learner of the same replica.
     #[must_use]
-    pub(crate) fn with_learner(&self, seat: ReplicaSeat) -> Self {
+    pub(crate) fn with_learner(&self, id: MemberId) -> Self {
         let mut members = self.members.clone();
         members.retain(|member| {
-            member.vote == MemberVote::Voter || member.seat.replica != seat.replica
+            member.voting_status == VotingStatus::Voter || member.id.replica != id.replica
         });
         members.push(GroupMember {
-            seat,
-            vote: MemberVote::Learner,
+            id,
+            voting_status: VotingStatus::Learner,
         });
         Self { members }
     }
@@ -106,8 +113,8 @@
     pub(crate) fn with_voter(&self, disk: DiskId) -> Self {
         let mut members = self.members.clone();
         for member in &mut members {
-            if member.seat.disk == disk {
-                member.vote = MemberVote::Voter;
+            if member.id.disk == disk {
+                member.voting_status = VotingStatus::Voter;
             }
         }
         Self { members }
@@ -117,7 +124,7 @@
     #[must_use]
     pub(crate) fn without(&self, disk: DiskId) -> Self {
         let mut members = self.members.clone();
-        members.retain(|member| member.seat.disk != disk);
+        members.retain(|member| member.id.disk != disk);
         Self { members }
     }
 }
--- a/src/control/replica/identity.rs
+++ b/src/control/replica/identity.rs
@@ -93,7 +93,7 @@
 
 /// A replica together with the data folder that it runs on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub(crate) struct ReplicaSeat {
+pub(crate) struct MemberId {
     /// The place in the group.
     pub(crate) replica: ReplicaId,
     /// The data folder that votes and acknowledges.
--- a/src/control/replica/leader_state.rs
+++ b/src/control/replica/leader_state.rs
@@ -1,7 +1,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use super::{
-    DiskId, GroupMembers, LogIndex, ProposalKey, ReadKey, ReplicaSeat, TermNumber,
+    DiskId, GroupMembers, LogIndex, MemberId, ProposalKey, ReadKey, TermNumber,
     peer_progress::PeerProgress,
 };
 use crate::clock::ClockMillis;
@@ -25,7 +25,7 @@
     /// A follower.
     Follower {
         /// The follower.
-        seat: ReplicaSeat,
+        member_id: MemberId,
         /// The follower's name for the read.
         sequence: u64,
     },
@@ -52,19 +52,19 @@
     /// Proposals in the order of the log.
     pub(crate) proposals: VecDeque<PendingProposal>,
     /// The bytes of these proposals.
-    pub(crate) proposal_bytes: usize,
+    pub(crate) pending_bytes: usize,
     /// Reads in the order of their rounds.
     pub(crate) reads: VecDeque<PendingRead>,
     /// The newest heartbeat round that was sent.
-    pub(crate) round: u64,
+    pub(crate) heartbeat_round: u64,
     /// When the next round is due.
     pub(crate) heartbeat_at: ClockMillis,
     /// The empty entry of this term.
     pub(crate) first_index: LogIndex,
     /// Replicas that asked to join.
-    pub(crate) joiners: Vec<ReplicaSeat>,
+    pub(crate) join_requests: Vec<MemberId>,
     /// Repaired replicas and the entry that made them count.
-    pub(crate) repairs: Vec<(ReplicaSeat, LogIndex)>,
+    pub(crate) pending_promotions: Vec<(MemberId, LogIndex)>,
 }
 
 impl LeaderState {
@@ -74,18 +74,18 @@
             term,
             progress: BTreeMap::new(),
             proposals: VecDeque::new(),
-            proposal_bytes: 0,
+            pending_bytes: 0,
             reads: VecDeque::new(),
-            round: 0,
+            heartbeat_round: 0,
             heartbeat_at: now,
             first_index: last_index.next(),
-            joiners: Vec::new(),
-            repairs: Vec::new(),
+            join_requests: Vec::new(),
+            pending_promotions: Vec::new(),
         }
     }
 
     /// Follows a change of the members.
-    pub(crate) fn sync_members(
+    pub(crate) fn update_members(
         &mut self,
         members: &GroupMembers,
         own: DiskId,
@@ -95,14 +95,14 @@
         self.progress
             .retain(|disk, _| members.find(*disk).is_some());
         for member in members.list() {
-            let disk = member.seat.disk;
+            let disk = member.id.disk;
             if disk != own {
                 self.progress
                     .entry(disk)
                     .or_insert_with(|| PeerProgress::new(last_index, now));
             }
         }
-        self.joiners
-            .retain(|seat| members.find(seat.disk).is_none());
+        self.join_requests
+            .retain(|member_id| members.find(member_id.disk).is_none());
     }
 }
--- a/src/control/replica/membership.rs
+++ b/src/control/replica/membership.rs
@@ -4,28 +4,28 @@
 //! is committed, the folder that it replaces stops counting, then it counts.
 
 use super::{
-    DiskId, EntryBody, GroupAdmission, GroupMembers, LogIndex, MemberVote, ReplicaCore,
-    ReplicaReport, ReplicaSeat,
+    DiskId, EntryBody, GroupAdmission, GroupMembers, LogIndex, MemberId, ReplicaCore,
+    ReplicaReport, VotingStatus,
     candidate_state::CoreRole,
     leader_state::LeaderState,
-    limits::{ELECTION_MAX_MILLIS, GONE_MILLIS},
+    limits::{ELECTION_MAX_MILLIS, VOTER_REMOVAL_MILLIS},
 };
 use crate::clock::ClockMillis;
 
 /// The next change of the members.
 #[derive(Debug, Clone, Copy)]
 enum MemberChange {
-    AddLearner(ReplicaSeat),
-    RemoveVoter(ReplicaSeat),
-    PromoteLearner(ReplicaSeat),
+    AddLearner(MemberId),
+    RemoveVoter(MemberId),
+    PromoteLearner(MemberId),
 }
 
 impl MemberChange {
     fn apply(self, members: &GroupMembers) -> GroupMembers {
         match self {
-            Self::AddLearner(seat) => members.with_learner(seat),
-            Self::RemoveVoter(seat) => members.without(seat.disk),
-            Self::PromoteLearner(seat) => members.with_voter(seat.disk),
+            Self::AddLearner(member_id) => members.with_learner(member_id),
+            Self::RemoveVoter(member_id) => members.without(member_id.disk),
+            Self::PromoteLearner(member_id) => members.with_voter(member_id.disk),
         }
     }
 }
@@ -33,12 +33,13 @@
 impl ReplicaCore {
     /// Makes the next change of the members, if the last one is committed.
     pub(super) fn advance_membership(&mut self, now: ClockMillis) {
-        self.report_repairs();
+        self.report_completed_repairs();
         let CoreRole::Leader(leader) = &self.role else {
             return;
         };
-        let settled = self.commit >= leader.first_index && self.log.members_index() <= self.commit;
-        if !settled {
+        let committed =
+            self.commit >= leader.first_index && self.log.members_index() <= self.commit;
+        if !committed {
             return;
         }
         if let Some(change) = self.next_change(leader, now) {
@@ -47,15 +48,15 @@
     }
 
     fn next_change(&self, leader: &LeaderState, now: ClockMillis) -> Option<MemberChange> {
-        if let Some(seat) = leader.joiners.first() {
-            return Some(MemberChange::AddLearner(*seat));
+        if let Some(member_id) = leader.join_requests.first() {
+            return Some(MemberChange::AddLearner(*member_id));
         }
-        self.learner_change(leader, now)
-            .or_else(|| self.removal_change(leader, now))
+        self.next_learner_step(leader, now)
+            .or_else(|| self.next_removal(leader, now))
     }
 
     /// Returns the removal of a voter that is gone from an open group.
-    fn removal_change(&self, leader: &LeaderState, now: ClockMillis) -> Option<MemberChange> {
+    fn next_removal(&self, leader: &LeaderState, now: ClockMillis) -> Option<MemberChange> {
         let GroupAdmission::Open { least_voters, .. } = self.peers.admission else {
             return None;
         };
@@ -65,38 +66,42 @@
         }
         members
             .voters()
-            .filter(|seat| {
+            .filter(|member_id| {
                 leader
                     .progress
-                    .get(&seat.disk)
-                    .is_some_and(|progress| now.since(progress.heard_at) >= GONE_MILLIS)
+                    .get(&member_id.disk)
+                    .is_some_and(|progress| {
+                        now.since(progress.last_contact_at) >= VOTER_REMOVAL_MILLIS
+                    })
             })
             .map(MemberChange::RemoveVoter)
             .find(|change| self.keeps_quorum(leader, *change, now))
     }
 
     /// Returns the next step of a learner that holds everything.
-    fn learner_change(&self, leader: &LeaderState, now: ClockMillis) -> Option<MemberChange> {
+    fn next_learner_step(&self, leader: &LeaderState, now: ClockMillis) -> Option<MemberChange> {
         let members = self.log.members();
         members
             .list()
             .iter()
-            .filter(|member| member.vote == MemberVote::Learner)
-            .map(|member| member.seat)
-            .filter(|seat| self.holds_all(leader, seat.disk))
-            .map(|seat| match members.other_voter(seat.replica, seat.disk) {
-                Some(old) => MemberChange::RemoveVoter(old),
-                None => MemberChange::PromoteLearner(seat),
-            })
+            .filter(|member| member.voting_status == VotingStatus::Learner)
+            .map(|member| member.id)
+            .filter(|member_id| self.holds_committed_log(leader, member_id.disk))
+            .map(
+                |member_id| match members.other_voter(member_id.replica, member_id.disk) {
+                    Some(old) => MemberChange::RemoveVoter(old),
+                    None => MemberChange::PromoteLearner(member_id),
+                },
+            )
             .find(|change| self.keeps_quorum(leader, *change, now))
     }
 
     /// Returns whether a learner holds durably all that is committed.
-    fn holds_all(&self, leader: &LeaderState, disk: DiskId) -> bool {
+    fn holds_committed_log(&self, leader: &LeaderState, disk: DiskId) -> bool {
         leader
             .progress
             .get(&disk)
-            .is_some_and(|progress| progress.matched >= self.commit)
+            .is_some_and(|progress| progress.match_index >= self.commit)
     }
 
     /// Returns whether a majority still answers after a change; a voter that
@@ -105,13 +110,12 @@
         let own = self.hard_state.disk;
         let heard = |disk: DiskId| {
             disk == own
-                || leader
-                    .progress
-                    .get(&disk)
-                    .is_some_and(|progress| now.since(progress.heard_at) < ELECTION_MAX_MILLIS)
+                || leader.progress.get(&disk).is_some_and(|progress| {
+                    now.since(progress.last_contact_at) < ELECTION_MAX_MILLIS
+                })
         };
-        if let MemberChange::RemoveVoter(seat) = change
-            && heard(seat.disk)
+        if let MemberChange::RemoveVoter(member_id) = change
+            && heard(member_id.disk)
         {
             return false;
         }
@@ -120,24 +124,28 @@
 
     fn change_members(&mut self, change: MemberChange, now: ClockMillis) {
         let members = change.apply(self.log.members());
-        let index = self.append_own(EntryBody::Members(members.clone()));
+        let index = self.append_entry(EntryBody::Members(members.clone()));
         let own = self.hard_state.disk;
         let CoreRole::Leader(leader) = &mut self.role else {
             return;
         };
-        leader.sync_members(&members, own, index, now);
+        leader.update_members(&members, own, index, now);
         match change {
-            MemberChange::AddLearner(seat) => {
-                self.report(ReplicaReport::LearnerAdded { seat });
-                self.send_round(now);
+            MemberChange::AddLearner(member_id) => {
+                self.report(ReplicaReport::LearnerAdded { member_id });
+                self.send_heartbeats(now);
+            }
+            MemberChange::RemoveVoter(member_id) => {
+                self.report(ReplicaReport::VoterRemoved { member_id })
+            }
+            MemberChange::PromoteLearner(member_id) => {
+                leader.pending_promotions.push((member_id, index))
             }
-            MemberChange::RemoveVoter(seat) => self.report(ReplicaReport::VoterRemoved { seat }),
-            MemberChange::PromoteLearner(seat) => leader.repairs.push((seat, index)),
         }
     }
 
     /// Reports the repairs that outlast the loss of another replica.
-    fn report_repairs(&mut self) {
+    fn report_completed_repairs(&mut self) {
         let commit = self.commit;
         let CoreRole::Leader(leader) = &mut self.role else {
             return;
@@ -146,16 +154,16 @@
         let held = |disk: DiskId, index: LogIndex| {
             progress
                 .get(&disk)
-                .is_some_and(|progress| progress.matched >= index)
+                .is_some_and(|progress| progress.match_index >= index)
         };
-        let done: Vec<(ReplicaSeat, LogIndex)> = leader
-            .repairs
-            .extract_if(.., |(seat, index)| {
-                *index <= commit && held(seat.disk, *index)
+        let done: Vec<(MemberId, LogIndex)> = leader
+            .pending_promotions
+            .extract_if(.., |(member_id, index)| {
+                *index <= commit && held(member_id.disk, *index)
             })
             .collect();
-        for (seat, _) in done {
-            self.report(ReplicaReport::RepairDone { seat });
+        for (member_id, _) in done {
+            self.report(ReplicaReport::RepairDone { member_id });
         }
     }
 }
--- /dev/null
+++ b/src/control/replica/message_dispatch.rs
@@ -0,0 +1,157 @@
+//! The way of a peer's message into the core: group, term, then its content.
+
+use super::{
+    MemberId, PeerBody, PeerMessage, ReplicaCore, ReplicaReport, candidate_state::CoreRole,
+};
+use crate::clock::ClockMillis;
+
+impl ReplicaCore {
+    /// Takes in a message of a peer.
+    pub(super) fn receive(&mut self, message: PeerMessage, now: ClockMillis) {
+        let misaddressed = message.to.is_some_and(|disk| disk != self.hard_state.disk);
+        if misaddressed || message.from.replica == self.peers.own {
+            return;
+        }
+        match message.body {
+            PeerBody::JoinRequest => self.handle_join_request(&message),
+            PeerBody::EmptyDiskResponse => self.handle_empty_disk(&message, now),
+            _ if self.check_group(&message) => self.receive_in_group(message, now),
+            _ => {}
+        }
+    }
+
+    fn check_group(&mut self, message: &PeerMessage) -> bool {
+        match (self.hard_state.group, message.group) {
+            (Some(own), Some(theirs)) if own == theirs => true,
+            (Some(_), Some(_)) => {
+                let replica = message.from.replica;
+                if self.foreign_peers.insert(replica) {
+                    self.report(ReplicaReport::ForeignGroup { replica });
+                }
+                false
+            }
+            (None, Some(theirs)) if message.to.is_some() => {
+                self.hard_state.group = Some(theirs);
+                self.disk.save_hard_state(self.hard_state);
+                true
+            }
+            _ => false,
+        }
+    }
+
+    fn receive_in_group(&mut self, message: PeerMessage, now: ClockMillis) {
+        if !self.check_term(&message, now) {
+            return;
+        }
+        let PeerMessage {
+            from, term, body, ..
+        } = message;
+        match body {
+            PeerBody::JoinRequest | PeerBody::EmptyDiskResponse | PeerBody::StaleTerm => {}
+            PeerBody::VoteRequest {
+                pre_vote,
+                leadership_transfer: _,
+                last_index,
+                last_term,
+            } => self.handle_vote_request(from, pre_vote, term, (last_term, last_index), now),
+            PeerBody::VoteResponse { pre_vote, granted } => {
+                if granted {
+                    self.handle_vote_response(from.disk, pre_vote, term, now);
+                }
+            }
+            PeerBody::Heartbeat { commit, round } => {
+                if self.accept_leader(from, now) {
+                    self.commit_to(commit);
+                    self.send(from, PeerBody::HeartbeatResponse { round });
+                }
+            }
+            PeerBody::HeartbeatResponse { round } => {
+                self.handle_heartbeat_response(from.disk, round, now)
+            }
+            PeerBody::AppendEntries {
+                previous_index,
+                previous_term,
+                commit,
+                entries,
+            } => {
+                if self.accept_leader(from, now) {
+                    self.handle_append(from, (previous_index, previous_term), entries, commit);
+                }
+            }
+            PeerBody::TimeoutNow => self.handle_timeout_now(from, now),
+            PeerBody::AppendAccepted { match_index } => {
+                self.handle_append_accepted(from.disk, match_index, now)
+            }
+            PeerBody::AppendRejected {
+                previous_index,
+                hint,
+            } => self.handle_append_rejected(from.disk, previous_index, hint, now),
+            PeerBody::SnapshotChunk { .. } => {
+                if self.accept_leader(from, now) {
+                    self.handle_snapshot_chunk(from, body);
+                }
+            }
+            PeerBody::SnapshotChunkResponse { index, received } => {
+                self.handle_chunk_response(from.disk, index, received, now);
+            }
+            PeerBody::ReadIndexRequest { sequence } => {
+                self.handle_read_index_request(from, sequence, now)
+            }
+            PeerBody::ReadIndexResponse { sequence, index } => {
+                self.handle_read_index_response(sequence, index, now);
+            }
+        }
+    }
+
+    /// Brings the own term up to the message's; returns whether it is current.
+    fn check_term(&mut self, message: &PeerMessage, now: ClockMillis) -> bool {
+        let own = self.hard_state.term;
+        match &message.body {
+            PeerBody::VoteRequest {
+                pre_vote,
+                leadership_transfer,
+                ..
+            } => {
+                if self.has_recent_leader(now) && !leadership_transfer {
+                    return false;
+                }
+                let passed = message.term < own || (*pre_vote && message.term == own);
+                if passed {
+                    self.send(message.from, PeerBody::StaleTerm);
+                    return false;
+                }
+                if !pre_vote && message.term > own {
+                    self.become_follower(message.term);
+                }
+                true
+            }
+            // The term of a trial is no one's yet.
+            PeerBody::VoteResponse { pre_vote: true, .. } => true,
+            _ if message.term > own => {
+                self.become_follower(message.term);
+                true
+            }
+            PeerBody::Heartbeat { .. }
+            | PeerBody::AppendEntries { .. }
+            | PeerBody::SnapshotChunk { .. }
+                if message.term < own =>
+            {
+                self.send(message.from, PeerBody::StaleTerm);
+                false
+            }
+            _ => message.term == own,
+        }
+    }
+
+    /// Takes the sender as leader of the own term.
+    fn accept_leader(&mut self, from: MemberId, now: ClockMillis) -> bool {
+        if matches!(self.role, CoreRole::Leader(_)) {
+            return false;
+        }
+        self.role = CoreRole::Follower;
+        self.leader = Some(from);
+        self.leader_contact_at = now;
+        self.reset_election_timer(now);
+        true
+    }
+}
--- a/src/control/replica/peer_message.rs
+++ b/src/control/replica/peer_message.rs
@@ -1,7 +1,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    DiskId, EntryPayload, GroupId, GroupMembers, LogEntry, LogIndex, ReplicaSeat, TermNumber,
+    DiskId, EntryPayload, GroupId, GroupMembers, LogEntry, LogIndex, MemberId, TermNumber,
 };
 
 /// A message between replicas.
@@ -10,7 +10,7 @@
     /// The sender's group, once it has one.
     pub(crate) group: Option<GroupId>,
     /// The sender.
-    pub(crate) from: ReplicaSeat,
+    pub(crate) from: MemberId,
     /// The data folder that is meant; any on that place if absent.
     pub(crate) to: Option<DiskId>,
     /// The term that the message speaks for.
@@ -23,24 +23,24 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum PeerBody {
     /// A replica that is in no group asks for admission.
-    JoinAsked,
+    JoinRequest,
     /// The asked replica is in no group either.
-    JoinEmpty,
+    EmptyDiskResponse,
     /// Asks for a vote in the message's term.
-    VoteAsked {
+    VoteRequest {
         /// Whether the term is only tried: nothing is promised yet.
-        trial: bool,
+        pre_vote: bool,
         /// Whether the leader itself asked for the election.
-        urged: bool,
+        leadership_transfer: bool,
         /// The candidate's last entry.
         last_index: LogIndex,
         /// That entry's term.
         last_term: TermNumber,
     },
     /// Answers a request for a vote.
-    VoteGiven {
+    VoteResponse {
         /// Whether the request was a trial.
-        trial: bool,
+        pre_vote: bool,
         /// Whether the vote was given.
         granted: bool,
     },
@@ -52,12 +52,12 @@
         round: u64,
     },
     /// Answers a heartbeat.
-    HeartbeatHeard {
+    HeartbeatResponse {
         /// The heartbeat's round.
         round: u64,
     },
     /// Entries that follow a known one.
-    Append {
+    AppendEntries {
         /// The entry before the first one.
         previous_index: LogIndex,
         /// That entry's term.
@@ -67,13 +67,13 @@
         /// The entries.
         entries: Vec<LogEntry>,
     },
-    /// The log up to `matched` equals the leader's, durably.
-    AppendHeld {
+    /// The log up to `match_index` equals the leader's, durably.
+    AppendAccepted {
         /// The last entry that is held.
-        matched: LogIndex,
+        match_index: LogIndex,
     },
     /// The entry before the first one is not held.
-    AppendRefused {
+    AppendRejected {
         /// The entry that was not found.
         previous_index: LogIndex,
         /// The last entry that may be held.
@@ -95,26 +95,26 @@
         bytes: EntryPayload,
     },
     /// The bytes of a snapshot that have come in.
-    SnapshotHeld {
+    SnapshotChunkResponse {
         /// The snapshot.
         index: LogIndex,
         /// The place of the next part.
         received: u64,
     },
     /// A follower wants to read.
-    ReadAsked {
+    ReadIndexRequest {
         /// Names the read in its answer.
         sequence: u64,
     },
     /// The leader confirms a read, or can't.
-    ReadAnswered {
+    ReadIndexResponse {
         /// The read.
         sequence: u64,
         /// What must be applied before the read.
         index: Option<LogIndex>,
     },
     /// The leader is to be stopped; the receiver is to lead at once.
-    LeadUrged,
+    TimeoutNow,
     /// The receiver spoke for an old term.
-    TermPassed,
+    StaleTerm,
 }
--- a/src/control/replica/peer_progress.rs
+++ b/src/control/replica/peer_progress.rs
@@ -7,7 +7,7 @@
     /// The end of the common log is looked for, one message at a time.
     Probing,
     /// Entries are sent ahead of their acknowledgement.
-    Streaming,
+    Pipelining,
     /// A snapshot is sent, one chunk at a time.
     SendingSnapshot {
         /// The snapshot, held until it is sent.
@@ -21,75 +21,78 @@
 #[derive(Debug, Clone)]
 pub(crate) struct PeerProgress {
     /// The last entry that the member holds durably.
-    pub(crate) matched: LogIndex,
+    pub(crate) match_index: LogIndex,
     /// The next entry to send.
-    pub(crate) next: LogIndex,
+    pub(crate) next_index: LogIndex,
     /// How entries are sent.
     pub(crate) phase: ProgressPhase,
     /// The messages that are not answered yet.
-    pub(crate) in_flight: usize,
+    pub(crate) messages_in_flight: usize,
     /// When something was last sent or acknowledged.
-    pub(crate) active_at: ClockMillis,
+    pub(crate) last_activity_at: ClockMillis,
     /// When the member was last heard.
-    pub(crate) heard_at: ClockMillis,
+    pub(crate) last_contact_at: ClockMillis,
     /// The newest heartbeat round that the member has answered.
-    pub(crate) round: u64,
+    pub(crate) acked_round: u64,
 }
 
 impl PeerProgress {
     /// Creates the progress of a member whose log is not known yet.
     pub(crate) fn new(last_index: LogIndex, now: ClockMillis) -> Self {
         Self {
-            matched: LogIndex::ZERO,
-            next: last_index.next(),
+            match_index: LogIndex::ZERO,
+            next_index: last_index.next(),
             phase: ProgressPhase::Probing,
-            in_flight: 0,
-            active_at: now,
-            heard_at: now,
-            round: 0,
+            messages_in_flight: 0,
+            last_activity_at: now,
+            last_contact_at: now,
+            acked_round: 0,
         }
     }
 
     /// Returns whether something has been sent that is not acknowledged.
-    pub(crate) fn awaits_answer(&self) -> bool {
-        let streaming = matches!(self.phase, ProgressPhase::Streaming);
-        self.in_flight > 0 || (streaming && self.matched.next() < self.next)
+    pub(crate) fn has_unacknowledged(&self) -> bool {
+        let streaming = matches!(self.phase, ProgressPhase::Pipelining);
+        self.messages_in_flight > 0 || (streaming && self.match_index.next() < self.next_index)
     }
 
-    /// Notes that the member holds the log up to `matched`.
-    pub(crate) fn hold(&mut self, matched: LogIndex, now: ClockMillis) {
-        self.active_at = now;
-        self.matched = self.matched.max(matched);
-        self.next = self.next.max(self.matched.next());
+    /// Notes that the member holds the log up to `match_index`.
+    pub(crate) fn acknowledge(&mut self, match_index: LogIndex, now: ClockMillis) {
+        self.last_activity_at = now;
+        self.match_index = self.match_index.max(match_index);
+        self.next_index = self.next_index.max(self.match_index.next());
         match &self.phase {
-            ProgressPhase::Streaming => self.in_flight = self.in_flight.saturating_sub(1),
-            ProgressPhase::SendingSnapshot { snapshot, .. } if snapshot.index > self.matched => {}
+            ProgressPhase::Pipelining => {
+                self.messages_in_flight = self.messages_in_flight.saturating_sub(1)
+            }
+            ProgressPhase::SendingSnapshot { snapshot, .. }
+                if snapshot.index > self.match_index => {}
             ProgressPhase::Probing | ProgressPhase::SendingSnapshot { .. } => {
-                self.phase = ProgressPhase::Streaming;
-                self.next = self.matched.next();
-                self.in_flight = 0;
+                self.phase = ProgressPhase::Pipelining;
+                self.next_index = self.match_index.next();
+                self.messages_in_flight = 0;
             }
         }
     }
 
     /// Notes that the member does not hold `previous`, at most `hint`.
-    pub(crate) fn refuse(&mut self, previous: LogIndex, hint: LogIndex, now: ClockMillis) {
-        let stale = previous <= self.matched || previous >= self.next;
+    pub(crate) fn reject(&mut self, previous: LogIndex, hint: LogIndex, now: ClockMillis) {
+        let stale = previous <= self.match_index || previous >= self.next_index;
         if stale || matches!(self.phase, ProgressPhase::SendingSnapshot { .. }) {
             return;
         }
-        self.next = previous.min(hint.next()).max(self.matched.next());
+        self.next_index = previous.min(hint.next()).max(self.match_index.next());
         self.probe(now);
     }
 
     /// Starts over after the last entry that the member is known to hold.
     pub(crate) fn restart(&mut self, now: ClockMillis) {
         if !matches!(self.phase, ProgressPhase::SendingSnapshot { .. }) {
-            self.next = self.matched.next();
+            self.next_index = self.match_index.next();
             self.probe(now);
         }
-        self.in_flight = 0;
-        self.active_at = now;
+        self.messages_in_flight = 0;
+        self.last_activity_at = now;
     }
 
     /// Starts to send a snapshot from its beginning.
@@ -98,13 +101,13 @@
             snapshot,
             offset: 0,
         };
-        self.in_flight = 0;
-        self.active_at = now;
+        self.messages_in_flight = 0;
+        self.last_activity_at = now;
     }
 
     fn probe(&mut self, now: ClockMillis) {
         self.phase = ProgressPhase::Probing;
-        self.in_flight = 0;
-        self.active_at = now;
+        self.messages_in_flight = 0;
+        self.last_activity_at = now;
     }
 }
--- a/src/control/replica/proposals.rs
+++ b/src/control/replica/proposals.rs
@@ -16,9 +16,9 @@
             self.answer_proposal(key, outcome);
             return;
         }
-        let index = self.append_own(EntryBody::Change(payload));
+        let index = self.append_entry(EntryBody::Change(payload));
         if let CoreRole::Leader(leader) = &mut self.role {
-            leader.proposal_bytes += bytes;
+            leader.pending_bytes += bytes;
             leader
                 .proposals
                 .push_back(PendingProposal { index, key, bytes });
@@ -28,8 +28,8 @@
     fn refusal(&self, bytes: usize) -> Option<ProposalOutcome> {
         let CoreRole::Leader(leader) = &self.role else {
             return Some(match self.leader {
-                Some(seat) => ProposalOutcome::NotLeader {
-                    leader: seat.replica,
+                Some(member_id) => ProposalOutcome::NotLeader {
+                    leader: member_id.replica,
                 },
                 None => ProposalOutcome::NoQuorum,
             });
@@ -38,7 +38,7 @@
             return Some(ProposalOutcome::TooLarge);
         }
         let full = leader.proposals.len() >= MAX_PENDING_PROPOSALS
-            || leader.proposal_bytes + bytes > MAX_PENDING_BYTES;
+            || leader.pending_bytes + bytes > MAX_PENDING_BYTES;
         full.then_some(ProposalOutcome::Overloaded)
     }
 
@@ -52,7 +52,7 @@
             && proposal.index <= commit
         {
             leader.proposals.pop_front();
-            leader.proposal_bytes -= proposal.bytes;
+            leader.pending_bytes -= proposal.bytes;
             self.actions.push(ReplicaAction::AnswerProposal {
                 key: proposal.key,
                 outcome: ProposalOutcome::Committed {
@@ -63,16 +63,19 @@
     }
 
     /// Answers everyone who waits for a leader that leads no more.
-    pub(super) fn abandon(&mut self, leader: LeaderState) {
+    pub(super) fn fail_pending(&mut self, leader: LeaderState) {
         for proposal in leader.proposals {
             self.answer_proposal(proposal.key, ProposalOutcome::OutcomeUnknown);
         }
         for read in leader.reads {
             match read.source {
                 ReadSource::Local(key) => self.answer_read(key, ReadOutcome::Refused),
-                ReadSource::Follower { seat, sequence } => {
+                ReadSource::Follower {
+                    member_id,
+                    sequence,
+                } => {
                     let index = None;
-                    self.send(seat, PeerBody::ReadAnswered { sequence, index });
+                    self.send(member_id, PeerBody::ReadIndexResponse { sequence, index });
                 }
             }
         }
--- a/src/control/replica/reads.rs
+++ b/src/control/replica/reads.rs
@@ -2,7 +2,7 @@
 //! asked for, so no newer leader had accepted anything by then.
 
 use super::{
-    DiskId, LogIndex, PeerBody, ReadKey, ReadOutcome, ReplicaAction, ReplicaCore, ReplicaSeat,
+    DiskId, LogIndex, MemberId, PeerBody, ReadKey, ReadOutcome, ReplicaAction, ReplicaCore,
     candidate_state::CoreRole,
     leader_state::{PendingRead, ReadSource},
     limits::MAX_PENDING_READS,
@@ -11,17 +11,25 @@
 
 impl ReplicaCore {
     /// Takes a client's read.
-    pub(super) fn ask_read(&mut self, key: ReadKey, now: ClockMillis) {
+    pub(super) fn handle_read(&mut self, key: ReadKey, now: ClockMillis) {
         match (&self.role, self.leader) {
             (CoreRole::Leader(_), _) => self.queue_read(ReadSource::Local(key), now),
-            (_, Some(seat)) => self.forward_read(key, seat, now),
+            (_, Some(member_id)) => self.forward_read(key, member_id, now),
             (_, None) => self.answer_read(key, ReadOutcome::Refused),
         }
     }
 
     /// Takes a read of a follower.
-    pub(super) fn ask_read_for(&mut self, seat: ReplicaSeat, sequence: u64, now: ClockMillis) {
-        let source = ReadSource::Follower { seat, sequence };
+    pub(super) fn handle_read_index_request(
+        &mut self,
+        member_id: MemberId,
+        sequence: u64,
+        now: ClockMillis,
+    ) {
+        let source = ReadSource::Follower {
+            member_id,
+            sequence,
+        };
         if matches!(self.role, CoreRole::Leader(_)) {
             self.queue_read(source, now);
         } else {
@@ -45,22 +53,22 @@
         }
         let idle = leader.reads.is_empty();
         leader.reads.push_back(PendingRead {
-            round: leader.round + 1,
+            round: leader.heartbeat_round + 1,
             index,
             source,
         });
         if idle {
-            self.send_round(now);
+            self.send_heartbeats(now);
         }
     }
 
     /// Notes that a member has answered a heartbeat.
-    pub(super) fn hear_round(&mut self, disk: DiskId, round: u64, now: ClockMillis) {
-        if let Some(progress) = self.progress_of(disk, now) {
-            progress.round = progress.round.max(round);
+    pub(super) fn handle_heartbeat_response(&mut self, disk: DiskId, round: u64, now: ClockMillis) {
+        if let Some(progress) = self.progress_after_contact(disk, now) {
+            progress.acked_round = progress.acked_round.max(round);
         }
         if self.confirm_reads() {
-            self.send_round(now);
+            self.send_heartbeats(now);
         }
     }
 
@@ -74,12 +82,12 @@
         };
         let confirmed = self.log.members().majority_value(|disk| {
             if disk == own {
-                return leader.round;
+                return leader.heartbeat_round;
             }
             leader
                 .progress
                 .get(&disk)
-                .map_or(0, |progress| progress.round)
+                .map_or(0, |progress| progress.acked_round)
         });
         let mut answered = Vec::new();
         while let Some(read) = leader.reads.front().copied()
@@ -91,7 +99,7 @@
         let waits = leader
             .reads
             .front()
-            .is_some_and(|read| read.round > leader.round);
+            .is_some_and(|read| read.round > leader.heartbeat_round);
         for read in answered {
             self.confirm_read(read.source, read.index);
         }
@@ -101,9 +109,12 @@
     fn confirm_read(&mut self, source: ReadSource, index: LogIndex) {
         match source {
             ReadSource::Local(key) => self.answer_read(key, ReadOutcome::Confirmed { index }),
-            ReadSource::Follower { seat, sequence } => {
+            ReadSource::Follower {
+                member_id,
+                sequence,
+            } => {
                 let index = Some(index);
-                self.send(seat, PeerBody::ReadAnswered { sequence, index });
+                self.send(member_id, PeerBody::ReadIndexResponse { sequence, index });
             }
         }
     }
@@ -111,9 +122,12 @@
     fn refuse_read(&mut self, source: ReadSource, outcome: ReadOutcome) {
         match source {
             ReadSource::Local(key) => self.answer_read(key, outcome),
-            ReadSource::Follower { seat, sequence } => {
+            ReadSource::Follower {
+                member_id,
+                sequence,
+            } => {
                 let index = None;
-                self.send(seat, PeerBody::ReadAnswered { sequence, index });
+                self.send(member_id, PeerBody::ReadIndexResponse { sequence, index });
             }
         }
     }
--- a/src/control/replica/replica_action.rs
+++ b/src/control/replica/replica_action.rs
@@ -1,6 +1,6 @@
 use super::{
-    DiskBatch, EntryPayload, GroupId, LogIndex, PeerMessage, ProposalKey, ReadKey, ReplicaId,
-    ReplicaSeat, TermNumber,
+    DiskBatch, EntryPayload, GroupId, LogIndex, MemberId, PeerMessage, ProposalKey, ReadKey,
+    ReplicaId, TermNumber,
 };
 
 /// What became of a proposal.
@@ -66,17 +66,17 @@
     /// A new data folder receives the log and does not count yet.
     LearnerAdded {
         /// The replica and its data folder.
-        seat: ReplicaSeat,
+        member_id: MemberId,
     },
     /// A lost data folder no longer counts.
     VoterRemoved {
         /// The replica and its data folder.
-        seat: ReplicaSeat,
+        member_id: MemberId,
     },
     /// A repair is done: the new data folder holds everything and counts.
     RepairDone {
         /// The replica and its data folder.
-        seat: ReplicaSeat,
+        member_id: MemberId,
     },
     /// A leader wants to replace a committed entry; it is not followed.
     CommittedConflict {
--- a/src/control/replica/replica_core.rs
+++ b/src/control/replica/replica_core.rs
@@ -3,16 +3,16 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 use super::{
-    DiskId, HardState, LogIndex, PeerBody, PeerMessage, ReplicaAction, ReplicaEvent, ReplicaId,
-    ReplicaReport, ReplicaSeat, SyncToken, TermNumber,
+    DiskId, HardState, LogIndex, MemberId, PeerBody, PeerMessage, ReplicaAction, ReplicaEvent,
+    ReplicaId, ReplicaReport, SyncToken, TermNumber,
     candidate_state::CoreRole,
-    disk_queue::{DiskQueue, HeldMessage},
+    disk_queue::{DeferredMessage, DiskQueue},
+    follower_reads::FollowerReads,
     hard_state::RecoveredState,
     limits::{
-        ELECTION_MAX_MILLIS, ELECTION_MIN_MILLIS, RETRY_MAX_MILLIS, RETRY_MIN_MILLIS,
-        START_MAX_MILLIS, START_MIN_MILLIS,
+        ELECTION_MAX_MILLIS, ELECTION_MIN_MILLIS, ELECTION_RETRY_MAX_MILLIS,
+        ELECTION_RETRY_MIN_MILLIS, FIRST_ELECTION_MAX_MILLIS, FIRST_ELECTION_MIN_MILLIS,
     },
-    read_forward::ReadForward,
     replica_log::{LogCompaction, ReplicaLog},
     snapshots::IncomingSnapshot,
 };
@@ -45,7 +45,7 @@
 
 impl GroupAdmission {
     /// Returns whether this replica may take part in forming the group.
-    pub(super) fn may_found(self) -> bool {
+    pub(super) fn may_form_group(self) -> bool {
         match self {
             Self::Listed => true,
             Self::Open { founds, .. } => founds,
@@ -66,22 +66,22 @@
     pub(super) log: ReplicaLog,
     pub(super) disk: DiskQueue,
     pub(super) role: CoreRole,
-    pub(super) leader: Option<ReplicaSeat>,
-    pub(super) leader_heard_at: ClockMillis,
-    pub(super) election_at: ClockMillis,
+    pub(super) leader: Option<MemberId>,
+    pub(super) leader_contact_at: ClockMillis,
+    pub(super) election_due_at: ClockMillis,
     pub(super) commit: LogIndex,
     pub(super) applied: LogIndex,
     /// The commit that the data folder remembers.
-    pub(super) marked: LogIndex,
+    pub(super) saved_commit: LogIndex,
     pub(super) compaction: LogCompaction,
-    pub(super) snapshot_asked: bool,
-    pub(super) incoming: Option<IncomingSnapshot>,
-    pub(super) forward: ReadForward,
-    pub(super) join_at: ClockMillis,
+    pub(super) snapshot_requested: bool,
+    pub(super) incoming_snapshot: Option<IncomingSnapshot>,
+    pub(super) follower_reads: FollowerReads,
+    pub(super) next_join_at: ClockMillis,
     /// Peers that said that their disk is empty, too.
-    pub(super) empties: BTreeMap<ReplicaId, (DiskId, ClockMillis)>,
-    pub(super) foreign: BTreeSet<ReplicaId>,
-    pub(super) generator: StdRng,
+    pub(super) empty_peers: BTreeMap<ReplicaId, (DiskId, ClockMillis)>,
+    pub(super) foreign_peers: BTreeSet<ReplicaId>,
+    pub(super) rng: StdRng,
     pub(super) actions: Vec<ReplicaAction>,
 }
 
@@ -109,27 +109,27 @@
             log,
             role: CoreRole::Follower,
             leader: None,
-            leader_heard_at: now,
-            election_at: now,
+            leader_contact_at: now,
+            election_due_at: now,
             commit: start,
             applied: start,
-            marked: start,
+            saved_commit: start,
             compaction: LogCompaction::new(),
-            snapshot_asked: false,
-            incoming: None,
-            forward: ReadForward::default(),
-            join_at: now,
-            empties: BTreeMap::new(),
-            foreign: BTreeSet::new(),
-            generator: StdRng::seed_from_u64(seed),
+            snapshot_requested: false,
+            incoming_snapshot: None,
+            follower_reads: FollowerReads::default(),
+            next_join_at: now,
+            empty_peers: BTreeMap::new(),
+            foreign_peers: BTreeSet::new(),
+            rng: StdRng::seed_from_u64(seed),
             actions: Vec::new(),
         };
         core.restore_snapshot();
         // What was committed stays so: it may be shown before a leader is heard.
         core.commit_to(known_commit);
-        core.marked = core.commit;
+        core.saved_commit = core.commit;
         if !core.is_alone() {
-            core.wait_between(START_MIN_MILLIS, START_MAX_MILLIS, now);
+            core.set_election_timer(FIRST_ELECTION_MIN_MILLIS, FIRST_ELECTION_MAX_MILLIS, now);
         }
         core
     }
@@ -145,19 +145,19 @@
     pub(crate) fn handle(&mut self, event: ReplicaEvent, now: ClockMillis) -> Vec<ReplicaAction> {
         match event {
             ReplicaEvent::Tick => self.tick(now),
-            ReplicaEvent::Received(message) => self.receive(message, now),
-            ReplicaEvent::PeersFound(replicas) => self.meet_peers(replicas),
+            ReplicaEvent::MessageReceived(message) => self.receive(message, now),
+            ReplicaEvent::PeersDiscovered(replicas) => self.update_peers(replicas),
             ReplicaEvent::Proposed { key, payload } => self.propose(key, payload),
-            ReplicaEvent::ReadAsked { key } => self.ask_read(key, now),
-            ReplicaEvent::StepAside => self.step_aside(now),
+            ReplicaEvent::ReadRequested { key } => self.handle_read(key, now),
+            ReplicaEvent::LeadershipTransferRequested => self.transfer_leadership(now),
             ReplicaEvent::Synced { token } => self.finish_sync(token),
-            ReplicaEvent::SnapshotTaken { index, payload } => self.keep_snapshot(index, payload),
+            ReplicaEvent::SnapshotTaken { index, payload } => self.store_snapshot(index, payload),
         }
         self.advance_commit();
         self.advance_membership(now);
         self.replicate(now);
-        self.ask_snapshot();
-        self.mark_commit();
+        self.request_snapshot();
+        self.save_commit_index();
         if let Some(batch) = self.disk.next_batch() {
             self.actions.push(ReplicaAction::Persist(batch));
         }
@@ -166,38 +166,38 @@
 
     /// Has an open group's data folder remember the commit, as far as it holds
     /// it, so that all that start again together know routes at once.
-    fn mark_commit(&mut self) {
-        let commit = self.commit.min(self.disk.durable());
-        if self.peers.admission.is_open() && commit > self.marked {
-            self.marked = commit;
+    fn save_commit_index(&mut self) {
+        let commit = self.commit.min(self.disk.durable_index());
+        if self.peers.admission.is_open() && commit > self.saved_commit {
+            self.saved_commit = commit;
             self.disk.save_commit(commit);
         }
     }
 
     fn tick(&mut self, now: ClockMillis) {
         self.expire_reads(now);
-        self.seek_group(now);
+        self.request_admission(now);
         match self.role {
             CoreRole::Leader(_) => self.tick_leader(now),
-            CoreRole::Follower | CoreRole::Candidate(_) if now >= self.election_at => {
-                self.start_trial(now);
+            CoreRole::Follower | CoreRole::Candidate(_) if now >= self.election_due_at => {
+                self.start_pre_vote(now);
             }
             CoreRole::Follower | CoreRole::Candidate(_) => {}
         }
     }
 
     fn finish_sync(&mut self, token: SyncToken) {
-        for held in self.disk.finish(token) {
+        for deferred in self.disk.finish(token) {
             self.actions.push(ReplicaAction::Send {
-                to: held.to,
-                message: held.message,
+                to: deferred.to,
+                message: deferred.message,
             });
         }
     }
 
     /// Returns this replica and its data folder.
-    pub(super) fn seat(&self) -> ReplicaSeat {
-        ReplicaSeat {
+    pub(super) fn member_id(&self) -> MemberId {
+        MemberId {
             replica: self.peers.own,
             disk: self.hard_state.disk,
         }
@@ -210,27 +210,27 @@
     }
 
     /// Puts the next election off by a random time.
-    pub(super) fn reset_election(&mut self, now: ClockMillis) {
-        self.wait_between(ELECTION_MIN_MILLIS, ELECTION_MAX_MILLIS, now);
+    pub(super) fn reset_election_timer(&mut self, now: ClockMillis) {
+        self.set_election_timer(ELECTION_MIN_MILLIS, ELECTION_MAX_MILLIS, now);
     }
 
     /// Has a candidate that is not elected try again after a random time; it is
     /// short, since nobody who could vote hears a leader.
-    pub(super) fn reset_retry(&mut self, now: ClockMillis) {
-        self.wait_between(RETRY_MIN_MILLIS, RETRY_MAX_MILLIS, now);
+    pub(super) fn schedule_election_retry(&mut self, now: ClockMillis) {
+        self.set_election_timer(ELECTION_RETRY_MIN_MILLIS, ELECTION_RETRY_MAX_MILLIS, now);
     }
 
-    fn wait_between(&mut self, shortest: SpanMillis, longest: SpanMillis, now: ClockMillis) {
+    fn set_election_timer(&mut self, shortest: SpanMillis, longest: SpanMillis, now: ClockMillis) {
         let range = shortest.millis()..=longest.millis();
-        let wait = SpanMillis::new(self.generator.random_range(range));
-        self.election_at = now.after(wait);
+        let wait = SpanMillis::new(self.rng.random_range(range));
+        self.election_due_at = now.after(wait);
     }
 
     /// Becomes a follower of `term`, which is the own one or a newer one.
     pub(super) fn become_follower(&mut self, term: TermNumber) {
-        let led = self.resign();
-        if let Some(led) = led {
-            self.report(ReplicaReport::LeaderDeposed { term: led });
+        let led_term = self.step_down();
+        if let Some(led_term) = led_term {
+            self.report(ReplicaReport::LeaderDeposed { term: led_term });
         }
         if term > self.hard_state.term {
             self.hard_state.term = term;
@@ -244,7 +244,7 @@
         self.actions.push(ReplicaAction::Report(report));
     }
 
-    pub(super) fn message(
+    pub(super) fn build_message(
         &self,
         to: Option<DiskId>,
         term: TermNumber,
@@ -252,7 +252,7 @@
     ) -> PeerMessage {
         PeerMessage {
             group: self.hard_state.group,
-            from: self.seat(),
+            from: self.member_id(),
             to,
             term,
             body,
@@ -260,8 +260,8 @@
     }
 
     /// Sends a message that promises nothing about the disk.
-    pub(super) fn send(&mut self, to: ReplicaSeat, body: PeerBody) {
-        let message = self.message(Some(to.disk), self.hard_state.term, body);
+    pub(super) fn send(&mut self, to: MemberId, body: PeerBody) {
+        let message = self.build_message(Some(to.disk), self.hard_state.term, body);
         self.actions.push(ReplicaAction::Send {
             to: to.replica,
             message,
@@ -269,20 +269,20 @@
     }
 
     /// Sends a message once everything before it is synced.
-    pub(super) fn send_synced(&mut self, to: ReplicaSeat, body: PeerBody) {
-        self.send_synced_in(self.hard_state.term, to, body);
+    pub(super) fn send_after_sync(&mut self, to: MemberId, body: PeerBody) {
+        self.send_after_sync_in(self.hard_state.term, to, body);
     }
 
     /// Sends a message that speaks for `term` once everything before it is synced.
-    pub(super) fn send_synced_in(&mut self, term: TermNumber, to: ReplicaSeat, body: PeerBody) {
-        let held = HeldMessage {
+    pub(super) fn send_after_sync_in(&mut self, term: TermNumber, to: MemberId, body: PeerBody) {
+        let deferred = DeferredMessage {
             to: to.replica,
-            message: self.message(Some(to.disk), term, body),
+            message: self.build_message(Some(to.disk), term, body),
         };
-        if let Some(held) = self.disk.hold(held) {
+        if let Some(deferred) = self.disk.defer(deferred) {
             self.actions.push(ReplicaAction::Send {
-                to: held.to,
-                message: held.message,
+                to: deferred.to,
+                message: deferred.message,
             });
         }
     }
--- a/src/control/replica/replica_event.rs
+++ b/src/control/replica/replica_event.rs
@@ -14,9 +14,9 @@
     /// Time has passed.
     Tick,
     /// A peer has sent a message; the shell has authenticated it.
-    Received(PeerMessage),
+    MessageReceived(PeerMessage),
     /// Discovery has found the members of the group.
-    PeersFound(Vec<ReplicaId>),
+    PeersDiscovered(Vec<ReplicaId>),
     /// A client wants a change.
     Proposed {
         /// Names the proposal in its answer.
@@ -25,12 +25,12 @@
         payload: EntryPayload,
     },
     /// A client wants to read what is committed now.
-    ReadAsked {
+    ReadRequested {
         /// Names the read in its answer.
         key: ReadKey,
     },
     /// This replica is to be stopped; another one is to lead.
-    StepAside,
+    LeadershipTransferRequested,
     /// A batch is on the disk and will survive a loss of power.
     Synced {
         /// The batch.
--- a/src/control/replica/replica_log.rs
+++ b/src/control/replica/replica_log.rs
@@ -2,24 +2,24 @@
 
 use super::{
     EntryBody, GroupMembers, GroupSnapshot, LogEntry, LogIndex, RecoveredState, TermNumber,
-    limits::{KEPT_BYTES, KEPT_ENTRIES, SNAPSHOT_ENTRIES},
+    limits::{COMPACTION_ENTRIES, RETAINED_BYTES, RETAINED_ENTRIES},
 };
 
 /// When the log is compacted, and what stays for members that lag a little.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct LogCompaction {
     /// The applied entries after which a snapshot is taken.
-    pub(crate) every: u64,
+    pub(crate) interval_entries: u64,
     /// The entries before the snapshot that stay.
-    pub(crate) kept: u64,
+    pub(crate) retained_entries: u64,
 }
 
 impl LogCompaction {
     /// Creates the ordinary compaction.
     pub(crate) const fn new() -> Self {
         Self {
-            every: SNAPSHOT_ENTRIES,
-            kept: KEPT_ENTRIES,
+            interval_entries: COMPACTION_ENTRIES,
+            retained_entries: RETAINED_ENTRIES,
         }
     }
 }
@@ -34,7 +34,7 @@
     bytes: usize,
     snapshot: Option<GroupSnapshot>,
     /// Each set of members that a held entry or the snapshot brought.
-    members: Vec<(LogIndex, GroupMembers)>,
+    member_history: Vec<(LogIndex, GroupMembers)>,
 }
 
 impl ReplicaLog {
@@ -47,7 +47,7 @@
             entries: VecDeque::new(),
             bytes: 0,
             snapshot: None,
-            members: vec![(LogIndex::ZERO, GroupMembers::default())],
+            member_history: vec![(LogIndex::ZERO, GroupMembers::default())],
         };
         let mut entries = recovered.entries;
         if let Some(snapshot) = recovered.snapshot {
@@ -132,7 +132,7 @@
         if let EntryBody::Members(members) = &entry.body {
             // Entries that the snapshot includes bring no newer members.
             if entry.index > self.members_index() {
-                self.members.push((entry.index, members.clone()));
+                self.member_history.push((entry.index, members.clone()));
             }
         }
         self.bytes += entry.size();
@@ -147,25 +147,29 @@
             };
             self.bytes -= entry.size();
         }
-        while self.members.len() > 1 && self.members_index() >= first {
-            self.members.pop();
+        while self.member_history.len() > 1 && self.members_index() >= first {
+            self.member_history.pop();
         }
     }
 
     /// Returns the group's members at the end of the log.
     pub(crate) fn members(&self) -> &GroupMembers {
-        &self.members[self.members.len() - 1].1
+        &self.member_history[self.member_history.len() - 1].1
     }
 
     /// Returns the entry that brought these members.
     pub(crate) fn members_index(&self) -> LogIndex {
-        self.members[self.members.len() - 1].0
+        self.member_history[self.member_history.len() - 1].0
     }
 
     /// Returns the group's members after the entry at `index`.
     pub(crate) fn members_at(&self, index: LogIndex) -> &GroupMembers {
-        let found = self.members.iter().rev().find(|(from, _)| *from <= index);
-        &found.unwrap_or(&self.members[0]).1
+        let found = self
+            .member_history
+            .iter()
+            .rev()
+            .find(|(from, _)| *from <= index);
+        &found.unwrap_or(&self.member_history[0]).1
     }
 
     /// Returns the newest snapshot.
@@ -196,17 +200,17 @@
         self.bytes = 0;
         self.base_index = snapshot.index;
         self.base_term = snapshot.term;
-        self.members = vec![(snapshot.index, snapshot.members.clone())];
+        self.member_history = vec![(snapshot.index, snapshot.members.clone())];
         self.snapshot = Some(snapshot);
     }
 
     /// Takes over a snapshot of what this log holds and drops old entries.
-    pub(crate) fn compact(&mut self, snapshot: GroupSnapshot, kept: u64) {
-        let kept = snapshot.index.back(kept);
-        let limit = snapshot.index;
+    pub(crate) fn compact(&mut self, snapshot: GroupSnapshot, retained_entries: u64) {
+        let first_retained = snapshot.index.back(retained_entries);
+        let snapshot_index = snapshot.index;
         self.snapshot = Some(snapshot);
-        while self.base_index < limit
-            && (self.base_index < kept || self.bytes > KEPT_BYTES)
+        while self.base_index < snapshot_index
+            && (self.base_index < first_retained || self.bytes > RETAINED_BYTES)
             && let Some(entry) = self.entries.pop_front()
         {
             self.bytes -= entry.size();
@@ -214,8 +218,8 @@
             self.base_term = entry.term;
         }
         let base = self.base_index;
-        while self.members.len() > 1 && self.members[1].0 <= base {
-            self.members.remove(0);
+        while self.member_history.len() > 1 && self.member_history[1].0 <= base {
+            self.member_history.remove(0);
         }
     }
 }
--- a/src/control/replica/replica_view.rs
+++ b/src/control/replica/replica_view.rs
@@ -1,5 +1,5 @@
 use super::{
-    GroupId, LogIndex, MemberVote, ReplicaCore, ReplicaSeat, TermNumber, candidate_state::CoreRole,
+    GroupId, LogIndex, MemberId, ReplicaCore, TermNumber, VotingStatus, candidate_state::CoreRole,
 };
 use crate::{
     clock::{ClockMillis, SpanMillis},
@@ -10,9 +10,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct MemberView {
     /// The member and its data folder.
-    pub(crate) seat: ReplicaSeat,
+    pub(crate) seat: MemberId,
     /// Whether it counts.
-    pub(crate) vote: MemberVote,
+    pub(crate) voting_status: VotingStatus,
     /// The last entry that it is known to hold durably.
     pub(crate) held: LogIndex,
     /// The time since it was heard; only a leader knows it.
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ReplicaView {
     /// This replica and its data folder.
-    pub(crate) seat: ReplicaSeat,
+    pub(crate) seat: MemberId,
     /// The group, once it belongs to one.
     pub(crate) group: Option<GroupId>,
     /// The newest term.
@@ -31,7 +31,7 @@
     /// What it does.
     pub(crate) role: ReplicaRole,
     /// Who leads, if that is known.
-    pub(crate) leader: Option<ReplicaSeat>,
+    pub(crate) leader: Option<MemberId>,
     /// The last committed entry that is known here.
     pub(crate) commit: LogIndex,
     /// The last applied entry.
@@ -45,7 +45,7 @@
     /// The members at the end of the log.
     pub(crate) members: Vec<MemberView>,
     /// Whether these members are committed.
-    pub(crate) members_settled: bool,
+    pub(crate) members_committed: bool,
     /// Whether a leader is heard, or is this replica, and an entry of its term
     /// is committed: nothing accepted by earlier leaders is missing here.
     pub(crate) caught_up: bool,
@@ -55,7 +55,7 @@
     /// Returns what a dump shows of this replica.
     pub(crate) fn view(&self, now: ClockMillis) -> ReplicaView {
         ReplicaView {
-            seat: self.seat(),
+            seat: self.member_id(),
             group: self.hard_state.group,
             term: self.hard_state.term,
             role: self.public_role(),
@@ -63,10 +63,10 @@
             commit: self.commit,
             applied: self.applied,
             last: self.log.last_index(),
-            durable: self.disk.durable(),
+            durable: self.disk.durable_index(),
             snapshot: self.log.snapshot_index(),
             members: self.member_views(now),
-            members_settled: self.log.members_index() <= self.commit,
+            members_committed: self.log.members_index() <= self.commit,
             caught_up: self.leader.is_some()
                 && self.log.term_at(self.commit) == Some(self.hard_state.term),
         }
@@ -85,20 +85,23 @@
         members
             .map(|member| {
                 let (held, silent) = match &self.role {
-                    _ if member.seat.disk == self.hard_state.disk => {
-                        (self.disk.durable(), Some(SpanMillis::ZERO))
+                    _ if member.id.disk == self.hard_state.disk => {
+                        (self.disk.durable_index(), Some(SpanMillis::ZERO))
                     }
-                    CoreRole::Leader(leader) => leader
-                        .progress
-                        .get(&member.seat.disk)
-                        .map_or((LogIndex::ZERO, None), |progress| {
-                            (progress.matched, Some(now.since(progress.heard_at)))
-                        }),
+                    CoreRole::Leader(leader) => leader.progress.get(&member.id.disk).map_or(
+                        (LogIndex::ZERO, None),
+                        |progress| {
+                            (
+                                progress.match_index,
+                                Some(now.since(progress.last_contact_at)),
+                            )
+                        },
+                    ),
                     _ => (LogIndex::ZERO, None),
                 };
                 MemberView {
-                    seat: member.seat,
-                    vote: member.vote,
+                    seat: member.id,
+                    voting_status: member.voting_status,
                     held,
                     silent,
                 }
--- a/src/control/replica/replication.rs
+++ b/src/control/replica/replication.rs
@@ -1,8 +1,8 @@
 //! Replication: the leader's side and the follower's side of appending.
 
 use super::{
-    DiskId, EntryBody, LogEntry, LogIndex, PeerBody, ReplicaAction, ReplicaCore, ReplicaReport,
-    ReplicaSeat, TermNumber,
+    DiskId, EntryBody, LogEntry, LogIndex, MemberId, PeerBody, ReplicaAction, ReplicaCore,
+    ReplicaReport, TermNumber,
     candidate_state::CoreRole,
     leader_state::LeaderState,
     limits::{
@@ -16,7 +16,7 @@
 
 impl ReplicaCore {
     /// Appends an entry of this leader's term.
-    pub(super) fn append_own(&mut self, body: EntryBody) -> LogIndex {
+    pub(super) fn append_entry(&mut self, body: EntryBody) -> LogIndex {
         let entry = LogEntry {
             index: self.log.last_index().next(),
             term: self.hard_state.term,
@@ -34,36 +34,38 @@
             return;
         };
         for progress in leader.progress.values_mut() {
-            if progress.awaits_answer() && now.since(progress.active_at) >= RESEND_MILLIS {
+            if progress.has_unacknowledged()
+                && now.since(progress.last_activity_at) >= RESEND_MILLIS
+            {
                 progress.restart(now);
             }
         }
         if now >= leader.heartbeat_at {
-            self.send_round(now);
+            self.send_heartbeats(now);
         }
     }
 
     /// Sends a heartbeat with a new round to every member.
-    pub(super) fn send_round(&mut self, now: ClockMillis) {
+    pub(super) fn send_heartbeats(&mut self, now: ClockMillis) {
         let commit = self.commit;
         let members = self.log.members().clone();
         let CoreRole::Leader(leader) = &mut self.role else {
             return;
         };
-        leader.round += 1;
+        leader.heartbeat_round += 1;
         leader.heartbeat_at = now.after(HEARTBEAT_MILLIS);
-        let round = leader.round;
-        let matched: Vec<(ReplicaSeat, LogIndex)> = members
+        let round = leader.heartbeat_round;
+        let recipients: Vec<(MemberId, LogIndex)> = members
             .list()
             .iter()
             .filter_map(|member| {
-                let progress = leader.progress.get(&member.seat.disk)?;
-                Some((member.seat, progress.matched))
+                let progress = leader.progress.get(&member.id.disk)?;
+                Some((member.id, progress.match_index))
             })
             .collect();
-        for (seat, matched) in matched {
-            let commit = commit.min(matched);
-            self.send(seat, PeerBody::Heartbeat { commit, round });
+        for (member_id, match_index) in recipients {
+            let commit = commit.min(match_index);
+            self.send(member_id, PeerBody::Heartbeat { commit, round });
         }
         self.confirm_reads();
     }
@@ -75,46 +77,51 @@
         };
         let mut outbox = Vec::new();
         for member in self.log.members().list() {
-            let Some(progress) = leader.progress.get_mut(&member.seat.disk) else {
+            let Some(progress) = leader.progress.get_mut(&member.id.disk) else {
                 continue;
             };
-            if now.since(progress.heard_at) >= ELECTION_MAX_MILLIS {
+            if now.since(progress.last_contact_at) >= ELECTION_MAX_MILLIS {
                 continue;
             }
             while let Some(body) = next_message(&self.log, progress, self.commit, now) {
-                outbox.push((member.seat, body));
+                outbox.push((member.id, body));
             }
         }
-        for (seat, body) in outbox {
-            self.send(seat, body);
+        for (member_id, body) in outbox {
+            self.send(member_id, body);
         }
     }
 
     /// Notes what a member holds durably.
-    pub(super) fn note_held(&mut self, disk: DiskId, matched: LogIndex, now: ClockMillis) {
+    pub(super) fn handle_append_accepted(
+        &mut self,
+        disk: DiskId,
+        match_index: LogIndex,
+        now: ClockMillis,
+    ) {
         let last_index = self.log.last_index();
-        if let Some(progress) = self.progress_of(disk, now)
-            && matched <= last_index
+        if let Some(progress) = self.progress_after_contact(disk, now)
+            && match_index <= last_index
         {
-            progress.hold(matched, now);
+            progress.acknowledge(match_index, now);
         }
     }
 
     /// Notes that a member lacks the entry before those that were sent.
-    pub(super) fn note_refused(
+    pub(super) fn handle_append_rejected(
         &mut self,
         disk: DiskId,
         previous: LogIndex,
         hint: LogIndex,
         now: ClockMillis,
     ) {
-        if let Some(progress) = self.progress_of(disk, now) {
-            progress.refuse(previous, hint, now);
+        if let Some(progress) = self.progress_after_contact(disk, now) {
+            progress.reject(previous, hint, now);
         }
     }
 
     /// Returns a member's progress after noting that it was heard.
-    pub(super) fn progress_of(
+    pub(super) fn progress_after_contact(
         &mut self,
         disk: DiskId,
         now: ClockMillis,
@@ -123,7 +130,7 @@
             return None;
         };
         let progress = leader.progress.get_mut(&disk)?;
-        progress.heard_at = now;
+        progress.last_contact_at = now;
         Some(progress)
     }
 
@@ -132,7 +139,7 @@
         let CoreRole::Leader(leader) = &self.role else {
             return;
         };
-        let held = self.majority_held(leader);
+        let held = self.majority_match_index(leader);
         // Only an entry of the own term settles those before it.
         if held > self.commit && self.log.term_at(held) == Some(leader.term) {
             self.commit_to(held);
@@ -140,16 +147,16 @@
         }
     }
 
-    fn majority_held(&self, leader: &LeaderState) -> LogIndex {
+    fn majority_match_index(&self, leader: &LeaderState) -> LogIndex {
         let own = self.hard_state.disk;
         self.log.members().majority_value(|disk| {
             if disk == own {
-                return self.disk.durable();
+                return self.disk.durable_index();
             }
             leader
                 .progress
                 .get(&disk)
-                .map_or(LogIndex::ZERO, |progress| progress.matched)
+                .map_or(LogIndex::ZERO, |progress| progress.match_index)
         })
     }
 
@@ -167,13 +174,13 @@
             }
             self.applied = index;
         }
-        self.release_forward();
+        self.answer_applied_reads();
     }
 
     /// Takes entries of the leader.
-    pub(super) fn take_entries(
+    pub(super) fn handle_append(
         &mut self,
-        from: ReplicaSeat,
+        from: MemberId,
         previous: (LogIndex, TermNumber),
         entries: Vec<LogEntry>,
         commit: LogIndex,
@@ -181,38 +188,38 @@
         let (previous_index, previous_term) = previous;
         if previous_index < self.log.base_index() {
             // What lies before is committed, so it is the same here.
-            let matched = self.commit;
-            self.send_synced(from, PeerBody::AppendHeld { matched });
+            let match_index = self.commit;
+            self.send_after_sync(from, PeerBody::AppendAccepted { match_index });
             return;
         }
         if self.log.term_at(previous_index) != Some(previous_term) {
             let hint = self.conflict_hint(previous_index);
-            let body = PeerBody::AppendRefused {
+            let body = PeerBody::AppendRejected {
                 previous_index,
                 hint,
             };
             self.send(from, body);
             return;
         }
-        let mut matched = previous_index;
+        let mut match_index = previous_index;
         for entry in entries {
-            if entry.index != matched.next() {
+            if entry.index != match_index.next() {
                 return;
             }
-            matched = entry.index;
-            if !self.take_entry(entry) {
+            match_index = entry.index;
+            if !self.accept_entry(entry) {
                 return;
             }
         }
-        self.commit_to(commit.min(matched));
-        self.send_synced(from, PeerBody::AppendHeld { matched });
+        self.commit_to(commit.min(match_index));
+        self.send_after_sync(from, PeerBody::AppendAccepted { match_index });
     }
 
     /// Takes one entry; returns whether the log holds it now.
     ///
     /// A committed entry is never replaced: a leader that wants to has lost
     /// what it promised, such as by an old copy of its data folder.
-    fn take_entry(&mut self, entry: LogEntry) -> bool {
+    fn accept_entry(&mut self, entry: LogEntry) -> bool {
         if self.log.term_at(entry.index) == Some(entry.term) {
             return true;
         }
@@ -252,12 +259,12 @@
     let (window, probing) = match &progress.phase {
         ProgressPhase::SendingSnapshot { .. } => return progress.next_chunk(now),
         ProgressPhase::Probing => (1, true),
-        ProgressPhase::Streaming => (MAX_APPENDS_IN_FLIGHT, false),
+        ProgressPhase::Pipelining => (MAX_APPENDS_IN_FLIGHT, false),
     };
-    if progress.in_flight >= window {
+    if progress.messages_in_flight >= window {
         return None;
     }
-    let previous_index = progress.next.previous();
+    let previous_index = progress.next_index.previous();
     let known = (previous_index >= log.base_index())
         .then(|| log.term_at(previous_index))
         .flatten();
@@ -265,18 +272,18 @@
         progress.send_snapshot(log.snapshot()?.clone(), now);
         return progress.next_chunk(now);
     };
-    let entries = log.entries_from(progress.next, MAX_APPEND_ENTRIES, MAX_APPEND_BYTES);
+    let entries = log.entries_from(progress.next_index, MAX_APPEND_ENTRIES, MAX_APPEND_BYTES);
     if entries.is_empty() && !probing {
         return None;
     }
-    if progress.in_flight == 0 {
-        progress.active_at = now;
+    if progress.messages_in_flight == 0 {
+        progress.last_activity_at = now;
     }
-    progress.in_flight += 1;
+    progress.messages_in_flight += 1;
     if let (false, Some(last)) = (probing, entries.last()) {
-        progress.next = last.index.next();
+        progress.next_index = last.index.next();
     }
-    Some(PeerBody::Append {
+    Some(PeerBody::AppendEntries {
         previous_index,
         previous_term,
         commit,
--- a/src/control/replica/snapshots.rs
+++ b/src/control/replica/snapshots.rs
@@ -1,9 +1,9 @@
 //! Snapshots: taking them, sending them in chunks, installing them.
 
 use super::{
-    DiskId, EntryPayload, GroupMembers, GroupSnapshot, LogIndex, PeerBody, ReplicaAction,
-    ReplicaCore, ReplicaSeat, TermNumber,
-    limits::{MAX_SNAPSHOT_BYTES, SNAPSHOT_CHUNK_BYTES, SNAPSHOT_LOG_BYTES},
+    DiskId, EntryPayload, GroupMembers, GroupSnapshot, LogIndex, MemberId, PeerBody, ReplicaAction,
+    ReplicaCore, TermNumber,
+    limits::{COMPACTION_BYTES, MAX_SNAPSHOT_BYTES, SNAPSHOT_CHUNK_BYTES},
     peer_progress::{PeerProgress, ProgressPhase},
 };
 use crate::clock::ClockMillis;
@@ -23,7 +23,7 @@
         self.index == index && self.term == term && self.total == total
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.bytes.len() == self.total
     }
 
@@ -43,7 +43,7 @@
         let ProgressPhase::SendingSnapshot { snapshot, offset } = &self.phase else {
             return None;
         };
-        if self.in_flight > 0 {
+        if self.messages_in_flight > 0 {
             return None;
         }
         let payload = snapshot.payload.bytes();
@@ -56,8 +56,8 @@
             offset: *offset as u64,
             bytes: EntryPayload::new(payload[*offset..end].to_vec()),
         };
-        self.in_flight = 1;
-        self.active_at = now;
+        self.messages_in_flight = 1;
+        self.last_activity_at = now;
         Some(body)
     }
 }
@@ -72,20 +72,20 @@
     }
 
     /// Asks for a snapshot when the log has grown enough.
-    pub(super) fn ask_snapshot(&mut self) {
+    pub(super) fn request_snapshot(&mut self) {
         let fresh = self.applied.distance(self.log.snapshot_index());
-        let large = self.log.bytes() >= SNAPSHOT_LOG_BYTES && fresh > 0;
-        if self.snapshot_asked || (fresh < self.compaction.every && !large) {
+        let large = self.log.bytes() >= COMPACTION_BYTES && fresh > 0;
+        if self.snapshot_requested || (fresh < self.compaction.interval_entries && !large) {
             return;
         }
-        self.snapshot_asked = true;
+        self.snapshot_requested = true;
         let index = self.applied;
         self.actions.push(ReplicaAction::TakeSnapshot { index });
     }
 
     /// Keeps the snapshot that the state machine wrote.
-    pub(super) fn keep_snapshot(&mut self, index: LogIndex, payload: EntryPayload) {
-        self.snapshot_asked = false;
+    pub(super) fn store_snapshot(&mut self, index: LogIndex, payload: EntryPayload) {
+        self.snapshot_requested = false;
         let useful = index > self.log.snapshot_index() && index <= self.applied;
         let Some(term) = self.log.term_at(index).filter(|_| useful) else {
             return;
@@ -96,12 +96,13 @@
             members: self.log.members_at(index).clone(),
             payload,
         };
-        self.log.compact(snapshot.clone(), self.compaction.kept);
+        self.log
+            .compact(snapshot.clone(), self.compaction.retained_entries);
         self.disk.save_snapshot(snapshot, self.log.base_index());
     }
 
     /// Takes a chunk of the leader's snapshot.
-    pub(super) fn take_chunk(&mut self, from: ReplicaSeat, body: PeerBody) {
+    pub(super) fn handle_snapshot_chunk(&mut self, from: MemberId, body: PeerBody) {
         let PeerBody::SnapshotChunk {
             index,
             entry_term,
@@ -114,9 +115,9 @@
             return;
         };
         if index <= self.commit || self.log.term_at(index) == Some(entry_term) {
-            let matched = index.max(self.commit);
+            let match_index = index.max(self.commit);
             self.commit_to(index);
-            self.send_synced(from, PeerBody::AppendHeld { matched });
+            self.send_after_sync(from, PeerBody::AppendAccepted { match_index });
             return;
         }
         let Some(total) = usize::try_from(total)
@@ -125,7 +126,7 @@
         else {
             return;
         };
-        let known = self.incoming.take();
+        let known = self.incoming_snapshot.take();
         let mut incoming = known
             .filter(|incoming| incoming.is_same(index, entry_term, total))
             .unwrap_or_else(|| IncomingSnapshot {
@@ -139,14 +140,14 @@
         if offset == incoming.bytes.len() as u64 && fits {
             incoming.bytes.extend_from_slice(bytes.bytes());
         }
-        if incoming.is_whole() {
+        if incoming.is_complete() {
             self.install_snapshot(incoming.finish());
-            self.send_synced(from, PeerBody::AppendHeld { matched: index });
+            self.send_after_sync(from, PeerBody::AppendAccepted { match_index: index });
             return;
         }
         let received = incoming.bytes.len() as u64;
-        self.incoming = Some(incoming);
-        self.send(from, PeerBody::SnapshotHeld { index, received });
+        self.incoming_snapshot = Some(incoming);
+        self.send(from, PeerBody::SnapshotChunkResponse { index, received });
     }
 
     fn install_snapshot(&mut self, snapshot: GroupSnapshot) {
@@ -155,18 +156,18 @@
         self.log.reset(snapshot.clone());
         self.disk.replace_log(snapshot);
         self.restore_snapshot();
-        self.release_forward();
+        self.answer_applied_reads();
     }
 
     /// Notes how much of the snapshot a member has.
-    pub(super) fn note_chunk(
+    pub(super) fn handle_chunk_response(
         &mut self,
         disk: DiskId,
         index: LogIndex,
         received: u64,
         now: ClockMillis,
     ) {
-        let Some(progress) = self.progress_of(disk, now) else {
+        let Some(progress) = self.progress_after_contact(disk, now) else {
             return;
         };
         let ProgressPhase::SendingSnapshot { snapshot, offset } = &mut progress.phase else {
@@ -177,8 +178,8 @@
         };
         if snapshot.index == index && received <= snapshot.payload.bytes().len() {
             *offset = received;
-            progress.in_flight = 0;
-            progress.active_at = now;
+            progress.messages_in_flight = 0;
+            progress.last_activity_at = now;
         }
     }
 }
--- a/src/control/replica/tests/shuffler.rs
+++ b/src/control/replica/tests/group_simulator.rs
@@ -4,7 +4,7 @@
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-use super::{promise_record::PromiseRecord, test_node::TestNode};
+use super::{history_checker::HistoryChecker, test_node::TestNode};
 use crate::{
     clock::{ClockMillis, SpanMillis},
     control::{
@@ -18,49 +18,52 @@
 };
 
 /// A message under way.
-struct Flight {
+struct Envelope {
     from: usize,
     to: usize,
     message: PeerMessage,
 }
 
 /// The replicas and what was promised to clients.
-pub(super) struct Shuffler {
+pub(super) struct GroupSimulator {
     pub(super) nodes: Vec<TestNode>,
-    flights: Vec<Flight>,
-    cuts: BTreeSet<(usize, usize)>,
+    in_flight: Vec<Envelope>,
+    blocked_links: BTreeSet<(usize, usize)>,
     pub(super) now: ClockMillis,
-    generator: StdRng,
-    pub(super) record: PromiseRecord,
+    rng: StdRng,
+    pub(super) history: HistoryChecker,
     compaction: LogCompaction,
     /// The replicas that found an open group; a listed group has none.
     founders: Option<usize>,
-    counted: Option<usize>,
+    counted_node: Option<usize>,
     pub(super) messages: usize,
     pub(super) bytes: usize,
 }
 
-impl Shuffler {
+impl GroupSimulator {
     pub(super) fn new(count: usize, seed: u64) -> Self {
-        let mut generator = StdRng::seed_from_u64(seed);
-        let nodes = (0..count).map(|_| TestNode::new(&mut generator)).collect();
-        let mut shuffler = Self {
+        let mut rng = StdRng::seed_from_u64(seed);
+        let nodes = (0..count).map(|_| TestNode::new(&mut rng)).collect();
+        let mut simulator = Self {
             nodes,
-            flights: Vec::new(),
-            cuts: BTreeSet::new(),
+            in_flight: Vec::new(),
+            blocked_links: BTreeSet::new(),
             now: ClockMillis::new(1),
-            generator,
-            record: PromiseRecord::default(),
-            compaction: LogCompaction { every: 8, kept: 3 },
+            rng,
+            history: HistoryChecker::default(),
+            compaction: LogCompaction {
+                interval_entries: 8,
+                retained_entries: 3,
+            },
             founders: None,
-            counted: None,
+            counted_node: None,
             messages: 0,
             bytes: 0,
         };
         for node in 0..count {
-            shuffler.restart(node);
+            simulator.restart(node);
         }
-        shuffler
+        simulator
     }
 
     /// Makes the group open: the first `founders` replicas form it, and every
@@ -75,8 +78,11 @@
     }
 
     /// Sets when every replica compacts its log; they start again.
-    pub(super) fn with_compaction(mut self, every: u64, kept: u64) -> Self {
-        self.compaction = LogCompaction { every, kept };
+    pub(super) fn with_compaction(mut self, interval_entries: u64, retained_entries: u64) -> Self {
+        self.compaction = LogCompaction {
+            interval_entries,
+            retained_entries,
+        };
         for node in 0..self.nodes.len() {
             self.crash(node, 0);
             self.restart(node);
@@ -86,7 +92,7 @@
 
     /// Counts only the messages from or to one replica from now on.
     pub(super) fn count_for(&mut self, node: usize) {
-        self.counted = Some(node);
+        self.counted_node = Some(node);
         self.messages = 0;
         self.bytes = 0;
     }
@@ -96,12 +102,12 @@
         if self.nodes[node].core.is_some() {
             return;
         }
-        let known = self.founders.unwrap_or(self.nodes.len());
-        let others = (0..known).filter(|other| *other != node);
+        let known_replicas = self.founders.unwrap_or(self.nodes.len());
+        let others = (0..known_replicas).filter(|other| *other != node);
         let recovered = self.nodes[node].disk.clone();
         let peers = ReplicaPeers {
-            own: replica(node),
-            others: others.map(replica).collect(),
+            own: replica_id(node),
+            others: others.map(replica_id).collect(),
             admission: match self.founders {
                 None => GroupAdmission::Listed,
                 Some(founders) => GroupAdmission::Open {
@@ -110,19 +116,19 @@
                 },
             },
         };
-        let core = ReplicaCore::new(peers, recovered, self.generator.random(), self.now)
+        let core = ReplicaCore::new(peers, recovered, self.rng.random(), self.now)
             .with_compaction(self.compaction);
         self.nodes[node].core = Some(core);
         self.nodes[node].state.clear();
     }
 
     /// Adds replicas with empty disks; the others start again and know of them.
-    pub(super) fn grow(&mut self, count: usize) {
+    pub(super) fn add_replicas(&mut self, count: usize) {
         for node in 0..self.nodes.len() {
             self.crash(node, 0);
         }
         for _ in 0..count {
-            self.nodes.push(TestNode::new(&mut self.generator));
+            self.nodes.push(TestNode::new(&mut self.rng));
         }
         for node in 0..self.nodes.len() {
             self.restart(node);
@@ -133,7 +139,7 @@
     pub(super) fn crash(&mut self, node: usize, kept: usize) {
         let node = &mut self.nodes[node];
         node.core = None;
-        if let Some(batch) = node.syncing.take()
+        if let Some(batch) = node.pending_sync.take()
             && kept > 0
         {
             node.write(batch, kept - 1);
@@ -143,25 +149,25 @@
     /// Kills a replica and gives it an empty disk.
     pub(super) fn lose_disk(&mut self, node: usize) {
         self.crash(node, 0);
-        self.nodes[node] = TestNode::new(&mut self.generator);
+        self.nodes[node] = TestNode::new(&mut self.rng);
         self.nodes[node].lost_disk = true;
     }
 
     /// Cuts the way from one replica to another.
-    pub(super) fn cut(&mut self, from: usize, to: usize) {
-        self.cuts.insert((from, to));
+    pub(super) fn block_link(&mut self, from: usize, to: usize) {
+        self.blocked_links.insert((from, to));
     }
 
     /// Cuts a replica off in both directions.
     pub(super) fn isolate(&mut self, node: usize) {
         for other in 0..self.nodes.len() {
-            self.cuts.insert((node, other));
-            self.cuts.insert((other, node));
+            self.blocked_links.insert((node, other));
+            self.blocked_links.insert((other, node));
         }
     }
 
     pub(super) fn heal(&mut self) {
-        self.cuts.clear();
+        self.blocked_links.clear();
     }
 
     pub(super) fn tick(&mut self, node: usize) {
@@ -174,7 +180,7 @@
 
     /// Finishes the sync that is under way at a replica.
     pub(super) fn sync(&mut self, node: usize) {
-        if let Some(batch) = self.nodes[node].syncing.take() {
+        if let Some(batch) = self.nodes[node].pending_sync.take() {
             let token = batch.token;
             self.nodes[node].write(batch, usize::MAX);
             self.handle(node, ReplicaEvent::Synced { token });
@@ -183,27 +189,27 @@
 
     /// Delivers a message under way; a copy may stay.
     pub(super) fn deliver(&mut self, pick: usize, copy: bool) {
-        if self.flights.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let pick = pick % self.flights.len();
-        let flight = if copy {
-            let flight = &self.flights[pick];
-            Flight {
-                message: flight.message.clone(),
-                ..*flight
+        let pick = pick % self.in_flight.len();
+        let envelope = if copy {
+            let envelope = &self.in_flight[pick];
+            Envelope {
+                message: envelope.message.clone(),
+                ..*envelope
             }
         } else {
-            self.flights.remove(pick)
+            self.in_flight.remove(pick)
         };
-        if !self.cuts.contains(&(flight.from, flight.to)) {
-            self.handle(flight.to, ReplicaEvent::Received(flight.message));
+        if !self.blocked_links.contains(&(envelope.from, envelope.to)) {
+            self.handle(envelope.to, ReplicaEvent::MessageReceived(envelope.message));
         }
     }
 
-    pub(super) fn lose_message(&mut self, pick: usize) {
-        if !self.flights.is_empty() {
-            self.flights.remove(pick % self.flights.len());
+    pub(super) fn drop_message(&mut self, pick: usize) {
+        if !self.in_flight.is_empty() {
+            self.in_flight.remove(pick % self.in_flight.len());
         }
     }
 
@@ -221,12 +227,12 @@
 
     /// Delivers and syncs until nothing is under way.
     pub(super) fn settle(&mut self) {
-        const MOST_STEPS: usize = 100_000;
-        for _ in 0..MOST_STEPS {
-            if !self.flights.is_empty() {
+        const MAX_STEPS: usize = 100_000;
+        for _ in 0..MAX_STEPS {
+            if !self.in_flight.is_empty() {
                 self.deliver(0, false);
             } else if let Some(node) =
-                (0..self.nodes.len()).find(|node| self.nodes[*node].syncing.is_some())
+                (0..self.nodes.len()).find(|node| self.nodes[*node].pending_sync.is_some())
             {
                 self.sync(node);
             } else {
@@ -237,20 +243,20 @@
     }
 
     pub(super) fn propose(&mut self, node: usize) -> ProposalKey {
-        let (key, bytes) = self.record.new_proposal();
+        let (key, bytes) = self.history.new_proposal();
         let payload = EntryPayload::new(bytes);
         self.handle(node, ReplicaEvent::Proposed { key, payload });
         key
     }
 
     pub(super) fn read(&mut self, node: usize) -> ReadKey {
-        let key = self.record.new_read();
-        self.handle(node, ReplicaEvent::ReadAsked { key });
+        let key = self.history.new_read();
+        self.handle(node, ReplicaEvent::ReadRequested { key });
         key
     }
 
-    pub(super) fn step_aside(&mut self, node: usize) {
-        self.handle(node, ReplicaEvent::StepAside);
+    pub(super) fn transfer_leadership(&mut self, node: usize) {
+        self.handle(node, ReplicaEvent::LeadershipTransferRequested);
     }
 
     pub(super) fn view(&self, node: usize) -> Option<ReplicaView> {
@@ -268,8 +274,8 @@
     }
 
     /// Checks that a replica has applied everything that was accepted.
-    pub(super) fn assert_holds_accepted(&self, node: usize) {
-        for (index, bytes) in &self.record.accepted {
+    pub(super) fn assert_applied_all_acknowledged(&self, node: usize) {
+        for (index, bytes) in &self.history.acknowledged {
             let held = self.nodes[node].state.get(index);
             assert_eq!(held, Some(bytes), "entry {index} is lost at {node}");
         }
@@ -281,34 +287,34 @@
             return;
         };
         for action in core.handle(event, now) {
-            self.act(node, action);
+            self.execute(node, action);
         }
     }
 
-    fn act(&mut self, node: usize, action: ReplicaAction) {
+    fn execute(&mut self, node: usize, action: ReplicaAction) {
         match action {
             ReplicaAction::Send { to, message } => {
                 let to = usize::try_from(to.number()).expect("few replicas") - 1;
                 if self
-                    .counted
-                    .is_none_or(|counted| counted == node || counted == to)
+                    .counted_node
+                    .is_none_or(|counted_node| counted_node == node || counted_node == to)
                 {
                     self.messages += 1;
                     self.bytes += postcard::to_stdvec(&message).expect("plain data").len();
                 }
-                self.flights.push(Flight {
+                self.in_flight.push(Envelope {
                     from: node,
                     to,
                     message,
                 });
             }
             ReplicaAction::Persist(batch) => {
-                let earlier = self.nodes[node].syncing.replace(batch);
+                let earlier = self.nodes[node].pending_sync.replace(batch);
                 assert!(earlier.is_none(), "two batches are under way");
             }
             ReplicaAction::Apply { index, payload } => {
                 let bytes = payload.bytes().to_vec();
-                self.record.note_apply(index.number(), &bytes);
+                self.history.check_applied(index.number(), &bytes);
                 self.nodes[node].state.insert(index.number(), bytes);
             }
             ReplicaAction::Restore { payload } => {
@@ -320,17 +326,17 @@
                 self.handle(node, ReplicaEvent::SnapshotTaken { index, payload });
             }
             ReplicaAction::AnswerProposal { key, outcome } => {
-                self.record.note_proposal(key, outcome);
+                self.history.check_proposal(key, outcome);
             }
             ReplicaAction::AnswerRead { key, outcome } => {
                 let applied = self.view(node).expect("it answers").applied;
-                self.record.note_read(key, outcome, applied);
+                self.history.check_read(key, outcome, applied);
             }
-            ReplicaAction::Report(report) => self.record.note_report(node, report),
+            ReplicaAction::Report(report) => self.history.check_report(node, report),
         }
     }
 }
 
-fn replica(node: usize) -> ReplicaId {
+fn replica_id(node: usize) -> ReplicaId {
     ReplicaId::new(u32::try_from(node + 1).expect("few replicas"))
 }
--- a/src/control/replica/tests/promise_record.rs
+++ b/src/control/replica/tests/history_checker.rs
@@ -6,53 +6,53 @@
 
 /// What clients asked for and were promised; it checks every promise.
 #[derive(Debug, Default)]
-pub(super) struct PromiseRecord {
+pub(super) struct HistoryChecker {
     proposals: BTreeMap<ProposalKey, Vec<u8>>,
     reads: BTreeMap<ReadKey, u64>,
-    contents: BTreeMap<u64, Vec<u8>>,
+    applied_changes: BTreeMap<u64, Vec<u8>>,
     leaders: BTreeMap<u64, usize>,
-    keys: u64,
-    pub(super) accepted: BTreeMap<u64, Vec<u8>>,
+    last_key: u64,
+    pub(super) acknowledged: BTreeMap<u64, Vec<u8>>,
     pub(super) outcomes: BTreeMap<ProposalKey, ProposalOutcome>,
     pub(super) read_outcomes: BTreeMap<ReadKey, ReadOutcome>,
     pub(super) reports: Vec<(usize, ReplicaReport)>,
 }
 
-impl PromiseRecord {
+impl HistoryChecker {
     /// Returns a change that no other proposal has.
     pub(super) fn new_proposal(&mut self) -> (ProposalKey, Vec<u8>) {
-        self.keys += 1;
-        let key = ProposalKey(self.keys);
-        let bytes = self.keys.to_be_bytes().to_vec();
+        self.last_key += 1;
+        let key = ProposalKey(self.last_key);
+        let bytes = self.last_key.to_be_bytes().to_vec();
         self.proposals.insert(key, bytes.clone());
         (key, bytes)
     }
 
     /// Returns a read that has to see everything accepted so far.
     pub(super) fn new_read(&mut self) -> ReadKey {
-        self.keys += 1;
-        let key = ReadKey(self.keys);
-        let newest = self.accepted.keys().next_back().copied().unwrap_or(0);
+        self.last_key += 1;
+        let key = ReadKey(self.last_key);
+        let newest = self.acknowledged.keys().next_back().copied().unwrap_or(0);
         self.reads.insert(key, newest);
         key
     }
 
-    pub(super) fn note_apply(&mut self, index: u64, bytes: &[u8]) {
-        let content = self.contents.entry(index).or_insert(bytes.to_vec());
-        assert_eq!(content, bytes, "two contents of entry {index}");
+    pub(super) fn check_applied(&mut self, index: u64, bytes: &[u8]) {
+        let expected = self.applied_changes.entry(index).or_insert(bytes.to_vec());
+        assert_eq!(expected, bytes, "two contents of entry {index}");
     }
 
-    pub(super) fn note_proposal(&mut self, key: ProposalKey, outcome: ProposalOutcome) {
+    pub(super) fn check_proposal(&mut self, key: ProposalKey, outcome: ProposalOutcome) {
         if let ProposalOutcome::Committed { index } = outcome {
             let bytes = self.proposals[&key].clone();
-            assert_eq!(self.contents.get(&index.number()), Some(&bytes));
-            self.accepted.insert(index.number(), bytes);
+            assert_eq!(self.applied_changes.get(&index.number()), Some(&bytes));
+            self.acknowledged.insert(index.number(), bytes);
         }
         let earlier = self.outcomes.insert(key, outcome);
         assert!(earlier.is_none(), "two answers to a proposal");
     }
 
-    pub(super) fn note_read(&mut self, key: ReadKey, outcome: ReadOutcome, applied: LogIndex) {
+    pub(super) fn check_read(&mut self, key: ReadKey, outcome: ReadOutcome, applied: LogIndex) {
         if let ReadOutcome::Confirmed { index } = outcome {
             assert!(index.number() >= self.reads[&key], "a read is too old");
             assert!(applied >= index, "a read comes before its state");
@@ -61,7 +61,7 @@
         assert!(earlier.is_none(), "two answers to a read");
     }
 
-    pub(super) fn note_report(&mut self, node: usize, report: ReplicaReport) {
+    pub(super) fn check_report(&mut self, node: usize, report: ReplicaReport) {
         if let ReplicaReport::LeaderElected { term } = report {
             let earlier = self.leaders.insert(term.number(), node);
             assert!(earlier.is_none(), "two leaders in term {term}");
--- a/src/control/replica/tests/measures.rs
+++ b/src/control/replica/tests/measures.rs
@@ -4,11 +4,11 @@
 
 use hdrhistogram::Histogram;
 
-use super::shuffler::Shuffler;
+use super::group_simulator::GroupSimulator;
 use crate::clock::SpanMillis;
 
 /// The largest time that a measurement records, in its unit.
-const MOST_RECORDED: u64 = 100_000_000;
+const MAX_RECORDED: u64 = 100_000_000;
 const SEEDS: u64 = if cfg!(debug_assertions) { 5 } else { 200 };
 const MISSED_ENTRIES: usize = 500;
 const SETTLE_MILLIS: SpanMillis = SpanMillis::new(4_000);
@@ -17,29 +17,29 @@
 #[test]
 fn measure_the_time_without_a_leader() {
     for count in [3, 5] {
-        let mut spans = Histogram::<u64>::new_with_max(MOST_RECORDED, 3).expect("a valid range");
+        let mut spans = Histogram::<u64>::new_with_max(MAX_RECORDED, 3).expect("a valid range");
         for seed in 0..SEEDS {
-            let mut shuffler = Shuffler::new(count, seed);
-            shuffler.run(SETTLE_MILLIS);
-            let old = shuffler.leader().expect("a group is formed");
+            let mut simulator = GroupSimulator::new(count, seed);
+            simulator.run(SETTLE_MILLIS);
+            let old = simulator.leader().expect("a group is formed");
             // The leader dies at another point of its heartbeats each time.
-            shuffler.pass_time(SpanMillis::new(seed % 150));
-            shuffler.crash(old, 0);
-            let start = shuffler.now;
+            simulator.pass_time(SpanMillis::new(seed % 150));
+            simulator.crash(old, 0);
+            let start = simulator.now;
             let elected = loop {
-                shuffler.run(STEP_MILLIS);
-                let leader = shuffler.leader();
+                simulator.run(STEP_MILLIS);
+                let leader = simulator.leader();
                 if let Some(leader) = leader {
                     break leader;
                 }
             };
-            let key = shuffler.propose(elected);
-            shuffler.settle();
+            let key = simulator.propose(elected);
+            simulator.settle();
             assert!(
-                shuffler.record.outcomes.contains_key(&key),
+                simulator.history.outcomes.contains_key(&key),
                 "it accepts at once"
             );
-            spans.saturating_record(shuffler.now.since(start).millis());
+            spans.saturating_record(simulator.now.since(start).millis());
         }
         println!(
             "{count} replicas, {SEEDS} seeds: p50 {} ms, p90 {} ms, p99 {} ms, max {} ms",
@@ -53,29 +53,32 @@
 
 #[test]
 fn measure_the_catching_up() {
-    for (name, every, kept) in [("entries", 4_096, 1_024), ("snapshot", 100, 0)] {
-        let mut shuffler = Shuffler::new(3, 11).with_compaction(every, kept);
-        shuffler.run(SETTLE_MILLIS);
-        let leader = shuffler.leader().expect("a group is formed");
+    for (name, interval_entries, retained_entries) in
+        [("entries", 4_096, 1_024), ("snapshot", 100, 0)]
+    {
+        let mut simulator =
+            GroupSimulator::new(3, 11).with_compaction(interval_entries, retained_entries);
+        simulator.run(SETTLE_MILLIS);
+        let leader = simulator.leader().expect("a group is formed");
         let lagging = (leader + 1) % 3;
-        shuffler.crash(lagging, 0);
+        simulator.crash(lagging, 0);
         for _ in 0..MISSED_ENTRIES {
-            shuffler.propose(leader);
-            shuffler.settle();
+            simulator.propose(leader);
+            simulator.settle();
         }
-        shuffler.run(SETTLE_MILLIS);
-        shuffler.restart(lagging);
-        shuffler.count_for(lagging);
-        let start = shuffler.now;
-        let last = shuffler.view(leader).expect("it runs").commit;
-        while shuffler.view(lagging).expect("it runs").applied < last {
-            shuffler.run(STEP_MILLIS);
+        simulator.run(SETTLE_MILLIS);
+        simulator.restart(lagging);
+        simulator.count_for(lagging);
+        let start = simulator.now;
+        let last = simulator.view(leader).expect("it runs").commit;
+        while simulator.view(lagging).expect("it runs").applied < last {
+            simulator.run(STEP_MILLIS);
         }
         println!(
             "{MISSED_ENTRIES} missed changes by {name}: {} messages, {} bytes both ways, {} ms",
-            shuffler.messages,
-            shuffler.bytes,
-            shuffler.now.since(start).millis(),
+            simulator.messages,
+            simulator.bytes,
+            simulator.now.since(start).millis(),
         );
     }
 }
@@ -83,15 +86,15 @@
 #[test]
 fn measure_the_messages_of_an_idle_group() {
     for count in [3, 5] {
-        let mut shuffler = Shuffler::new(count, 11);
-        shuffler.run(SETTLE_MILLIS);
-        let leader = shuffler.leader().expect("a group is formed");
-        shuffler.count_for(leader);
-        shuffler.run(SpanMillis::new(10_000));
+        let mut simulator = GroupSimulator::new(count, 11);
+        simulator.run(SETTLE_MILLIS);
+        let leader = simulator.leader().expect("a group is formed");
+        simulator.count_for(leader);
+        simulator.run(SpanMillis::new(10_000));
         println!(
             "{count} replicas idle, leader, both ways: {} messages/s, {} bytes/s",
-            shuffler.messages / 10,
-            shuffler.bytes / 10,
+            simulator.messages / 10,
+            simulator.bytes / 10,
         );
     }
 }
--- a/src/control/replica/tests/mod.rs
+++ b/src/control/replica/tests/mod.rs
@@ -1,11 +1,11 @@
 //! Tests of the replicated log.
 
+mod group_simulator;
+mod history_checker;
 mod measures;
 mod open_group;
-mod promise_record;
-mod promises;
+mod random_faults;
 mod scenarios;
-mod shuffler;
 mod single_core;
 mod test_node;
 
--- a/src/control/replica/tests/scenarios.rs
+++ b/src/control/replica/tests/scenarios.rs
@@ -2,33 +2,33 @@
 
 use rstest::rstest;
 
-use super::shuffler::Shuffler;
+use super::group_simulator::GroupSimulator;
 use crate::{
     clock::SpanMillis,
     control::{
         api::ReplicaRole,
-        replica::{MemberVote, ProposalOutcome, ReadOutcome, ReplicaReport},
+        replica::{ProposalOutcome, ReadOutcome, ReplicaReport, VotingStatus},
     },
 };
 
 const SETTLE_MILLIS: SpanMillis = SpanMillis::new(4_000);
 
-fn start(count: usize) -> (Shuffler, usize) {
-    let mut shuffler = Shuffler::new(count, 7);
-    shuffler.run(SETTLE_MILLIS);
-    let leader = shuffler.leader().expect("a group is formed");
+fn start(count: usize) -> (GroupSimulator, usize) {
+    let mut simulator = GroupSimulator::new(count, 7);
+    simulator.run(SETTLE_MILLIS);
+    let leader = simulator.leader().expect("a group is formed");
     for _ in 0..5 {
-        shuffler.propose(leader);
-        shuffler.settle();
+        simulator.propose(leader);
+        simulator.settle();
     }
-    shuffler.run(SpanMillis::new(500));
-    assert_eq!(shuffler.record.accepted.len(), 5);
-    (shuffler, leader)
+    simulator.run(SpanMillis::new(500));
+    assert_eq!(simulator.history.acknowledged.len(), 5);
+    (simulator, leader)
 }
 
-fn repairs(shuffler: &Shuffler) -> usize {
+fn completed_repairs(simulator: &GroupSimulator) -> usize {
     let done = |report: &ReplicaReport| matches!(report, ReplicaReport::RepairDone { .. });
-    let reports = shuffler.record.reports.iter();
+    let reports = simulator.history.reports.iter();
     reports.filter(|(_, report)| done(report)).count()
 }
 
@@ -37,237 +37,240 @@
 #[case(3)]
 #[case(5)]
 fn a_group_forms_and_every_replica_applies(#[case] count: usize) {
-    let (shuffler, _) = start(count);
+    let (simulator, _) = start(count);
     for node in 0..count {
-        shuffler.assert_holds_accepted(node);
+        simulator.assert_applied_all_acknowledged(node);
     }
 }
 
 #[test]
 fn one_empty_disk_alone_forms_no_group() {
-    let mut shuffler = Shuffler::new(3, 3);
-    shuffler.isolate(0);
-    shuffler.run(SETTLE_MILLIS);
-    assert!(shuffler.leader().is_none());
+    let mut simulator = GroupSimulator::new(3, 3);
+    simulator.isolate(0);
+    simulator.run(SETTLE_MILLIS);
+    assert!(simulator.leader().is_none());
 }
 
 #[test]
 fn a_leader_that_is_cut_off_confirms_no_read_and_accepts_nothing() {
-    let (mut shuffler, old) = start(3);
-    shuffler.isolate(old);
-    let unknown = shuffler.propose(old);
-    let read = shuffler.read(old);
-    shuffler.run(SETTLE_MILLIS);
-    let new = shuffler.leader().expect("the majority goes on");
+    let (mut simulator, old) = start(3);
+    simulator.isolate(old);
+    let unknown = simulator.propose(old);
+    let read = simulator.read(old);
+    simulator.run(SETTLE_MILLIS);
+    let new = simulator.leader().expect("the majority goes on");
     assert_ne!(new, old);
-    shuffler.propose(new);
-    shuffler.settle();
-    let late_read = shuffler.read(old);
-    let refused = shuffler.propose(old);
-    shuffler.run(SETTLE_MILLIS);
+    simulator.propose(new);
+    simulator.settle();
+    let read_after = simulator.read(old);
+    let refused = simulator.propose(old);
+    simulator.run(SETTLE_MILLIS);
     assert_eq!(
-        shuffler.record.outcomes[&unknown],
+        simulator.history.outcomes[&unknown],
         ProposalOutcome::OutcomeUnknown
     );
     assert_eq!(
-        shuffler.record.outcomes[&refused],
+        simulator.history.outcomes[&refused],
         ProposalOutcome::NoQuorum
     );
-    assert_eq!(shuffler.record.read_outcomes[&read], ReadOutcome::Refused);
+    assert_eq!(simulator.history.read_outcomes[&read], ReadOutcome::Refused);
     assert_eq!(
-        shuffler.record.read_outcomes[&late_read],
+        simulator.history.read_outcomes[&read_after],
         ReadOutcome::Refused
     );
 }
 
 #[test]
 fn a_follower_that_is_cut_off_confirms_no_read() {
-    let (mut shuffler, leader) = start(3);
+    let (mut simulator, leader) = start(3);
     let follower = (leader + 1) % 3;
-    let current = shuffler.read(follower);
-    shuffler.settle();
+    let current = simulator.read(follower);
+    simulator.settle();
     assert!(matches!(
-        shuffler.record.read_outcomes[&current],
+        simulator.history.read_outcomes[&current],
         ReadOutcome::Confirmed { .. }
     ));
-    shuffler.isolate(follower);
-    let stale = shuffler.read(follower);
-    shuffler.propose(leader);
-    shuffler.run(SETTLE_MILLIS);
-    assert_eq!(shuffler.record.read_outcomes[&stale], ReadOutcome::Refused);
+    simulator.isolate(follower);
+    let stale = simulator.read(follower);
+    simulator.propose(leader);
+    simulator.run(SETTLE_MILLIS);
+    assert_eq!(
+        simulator.history.read_outcomes[&stale],
+        ReadOutcome::Refused
+    );
 }
 
 #[test]
 fn a_replica_that_returns_from_a_cut_does_not_depose_the_leader() {
-    let (mut shuffler, leader) = start(3);
-    let term = shuffler.view(leader).expect("it runs").term;
-    shuffler.isolate((leader + 1) % 3);
-    shuffler.run(SpanMillis::new(20_000));
-    shuffler.heal();
-    shuffler.run(SETTLE_MILLIS);
-    assert_eq!(shuffler.leader(), Some(leader));
-    assert_eq!(shuffler.view(leader).expect("it runs").term, term);
+    let (mut simulator, leader) = start(3);
+    let term = simulator.view(leader).expect("it runs").term;
+    simulator.isolate((leader + 1) % 3);
+    simulator.run(SpanMillis::new(20_000));
+    simulator.heal();
+    simulator.run(SETTLE_MILLIS);
+    assert_eq!(simulator.leader(), Some(leader));
+    assert_eq!(simulator.view(leader).expect("it runs").term, term);
 }
 
 #[test]
 fn a_second_disk_may_be_lost_right_after_a_repair_is_reported() {
-    let (mut shuffler, leader) = start(3);
+    let (mut simulator, leader) = start(3);
     let first = (leader + 1) % 3;
-    shuffler.crash(first, 0);
+    simulator.crash(first, 0);
     for _ in 0..20 {
-        shuffler.propose(leader);
-        shuffler.settle();
+        simulator.propose(leader);
+        simulator.settle();
     }
-    shuffler.lose_disk(first);
-    shuffler.restart(first);
-    while repairs(&shuffler) == 0 {
-        shuffler.run(SpanMillis::new(25));
+    simulator.lose_disk(first);
+    simulator.restart(first);
+    while completed_repairs(&simulator) == 0 {
+        simulator.run(SpanMillis::new(25));
     }
-    shuffler.lose_disk(leader);
-    shuffler.run(SETTLE_MILLIS);
-    let next = shuffler.leader().expect("two of three answer");
-    shuffler.assert_holds_accepted(next);
-    shuffler.restart(leader);
-    shuffler.run(SpanMillis::new(8_000));
-    assert_eq!(repairs(&shuffler), 2);
+    simulator.lose_disk(leader);
+    simulator.run(SETTLE_MILLIS);
+    let next = simulator.leader().expect("two of three answer");
+    simulator.assert_applied_all_acknowledged(next);
+    simulator.restart(leader);
+    simulator.run(SpanMillis::new(8_000));
+    assert_eq!(completed_repairs(&simulator), 2);
     for node in 0..3 {
-        shuffler.assert_holds_accepted(node);
+        simulator.assert_applied_all_acknowledged(node);
     }
 }
 
 #[test]
 fn a_disk_lost_during_a_repair_stops_the_group_and_loses_nothing() {
-    let (mut shuffler, leader) = start(3);
+    let (mut simulator, leader) = start(3);
     let (first, second) = ((leader + 1) % 3, (leader + 2) % 3);
-    shuffler.lose_disk(first);
-    shuffler.restart(first);
-    shuffler.cut(leader, first);
-    shuffler.run(SpanMillis::new(1_000));
-    shuffler.lose_disk(second);
-    shuffler.heal();
-    shuffler.run(SETTLE_MILLIS);
-    let refused = shuffler.propose(leader);
-    let read = shuffler.read(leader);
+    simulator.lose_disk(first);
+    simulator.restart(first);
+    simulator.block_link(leader, first);
+    simulator.run(SpanMillis::new(1_000));
+    simulator.lose_disk(second);
+    simulator.heal();
+    simulator.run(SETTLE_MILLIS);
+    let refused = simulator.propose(leader);
+    let read = simulator.read(leader);
     assert_eq!(
-        shuffler.record.outcomes[&refused],
+        simulator.history.outcomes[&refused],
         ProposalOutcome::NoQuorum
     );
-    assert_eq!(shuffler.record.read_outcomes[&read], ReadOutcome::Refused);
-    assert_eq!(repairs(&shuffler), 0);
+    assert_eq!(simulator.history.read_outcomes[&read], ReadOutcome::Refused);
+    assert_eq!(completed_repairs(&simulator), 0);
     let lost = |report: &ReplicaReport| matches!(report, ReplicaReport::QuorumLost { .. });
     assert!(
-        shuffler
-            .record
+        simulator
+            .history
             .reports
             .iter()
             .any(|(_, report)| lost(report))
     );
-    shuffler.assert_holds_accepted(leader);
+    simulator.assert_applied_all_acknowledged(leader);
 }
 
 #[test]
 fn an_empty_disk_does_not_count_while_it_lacks_entries() {
-    let (mut shuffler, leader) = start(3);
+    let (mut simulator, leader) = start(3);
     let (first, second) = ((leader + 1) % 3, (leader + 2) % 3);
-    shuffler.lose_disk(first);
-    shuffler.restart(first);
-    shuffler.crash(second, 0);
-    let key = shuffler.propose(leader);
-    shuffler.run(SpanMillis::new(20_000));
-    let outcome = shuffler.record.outcomes.get(&key);
+    simulator.lose_disk(first);
+    simulator.restart(first);
+    simulator.crash(second, 0);
+    let key = simulator.propose(leader);
+    simulator.run(SpanMillis::new(20_000));
+    let outcome = simulator.history.outcomes.get(&key);
     assert!(!matches!(outcome, Some(ProposalOutcome::Committed { .. })));
-    assert_eq!(repairs(&shuffler), 0);
-    shuffler.restart(second);
-    shuffler.run(SpanMillis::new(8_000));
-    assert_eq!(repairs(&shuffler), 1);
-    let view = shuffler.view(shuffler.leader().expect("all answer"));
+    assert_eq!(completed_repairs(&simulator), 0);
+    simulator.restart(second);
+    simulator.run(SpanMillis::new(8_000));
+    assert_eq!(completed_repairs(&simulator), 1);
+    let view = simulator.view(simulator.leader().expect("all answer"));
     let members = view.expect("it runs").members;
     assert_eq!(members.len(), 3);
     assert!(
         members
             .iter()
-            .all(|member| member.vote == MemberVote::Voter)
+            .all(|member| member.voting_status == VotingStatus::Voter)
     );
 }
 
 #[test]
 fn a_member_that_lags_far_gets_a_snapshot() {
-    let (mut shuffler, leader) = start(3);
+    let (mut simulator, leader) = start(3);
     let lagging = (leader + 1) % 3;
-    shuffler.crash(lagging, 0);
+    simulator.crash(lagging, 0);
     for _ in 0..100 {
-        shuffler.propose(leader);
-        shuffler.settle();
+        simulator.propose(leader);
+        simulator.settle();
     }
-    shuffler.restart(lagging);
-    shuffler.run(SETTLE_MILLIS);
-    assert_eq!(shuffler.record.accepted.len(), 105);
-    shuffler.assert_holds_accepted(lagging);
-    let view = shuffler.view(lagging).expect("it runs");
+    simulator.restart(lagging);
+    simulator.run(SETTLE_MILLIS);
+    assert_eq!(simulator.history.acknowledged.len(), 105);
+    simulator.assert_applied_all_acknowledged(lagging);
+    let view = simulator.view(lagging).expect("it runs");
     assert_eq!(view.role, ReplicaRole::Follower);
     assert!(view.snapshot.number() > 50);
 }
 
 #[test]
 fn a_group_of_one_grows_to_three() {
-    let (mut shuffler, _) = start(1);
-    shuffler.grow(2);
-    shuffler.run(SpanMillis::new(8_000));
-    assert_eq!(repairs(&shuffler), 2);
-    shuffler.crash(0, 0);
-    shuffler.run(SETTLE_MILLIS);
-    let leader = shuffler.leader().expect("two of three answer");
-    shuffler.assert_holds_accepted(leader);
+    let (mut simulator, _) = start(1);
+    simulator.add_replicas(2);
+    simulator.run(SpanMillis::new(8_000));
+    assert_eq!(completed_repairs(&simulator), 2);
+    simulator.crash(0, 0);
+    simulator.run(SETTLE_MILLIS);
+    let leader = simulator.leader().expect("two of three answer");
+    simulator.assert_applied_all_acknowledged(leader);
 }
 
 #[test]
 fn a_leader_that_steps_aside_is_followed_at_once() {
-    let (mut shuffler, old) = start(3);
-    let before = shuffler.now;
-    shuffler.step_aside(old);
-    shuffler.settle();
-    assert_eq!(shuffler.now, before);
-    let new = shuffler.leader().expect("one is urged to lead");
+    let (mut simulator, old) = start(3);
+    let before = simulator.now;
+    simulator.transfer_leadership(old);
+    simulator.settle();
+    assert_eq!(simulator.now, before);
+    let new = simulator.leader().expect("one is urged to lead");
     assert_ne!(new, old);
-    let key = shuffler.propose(new);
-    shuffler.settle();
-    let outcome = shuffler.record.outcomes[&key];
+    let key = simulator.propose(new);
+    simulator.settle();
+    let outcome = simulator.history.outcomes[&key];
     assert!(matches!(outcome, ProposalOutcome::Committed { .. }));
 }
 
 #[test]
 fn a_leader_stays_when_no_other_holds_everything() {
-    let (mut shuffler, leader) = start(3);
+    let (mut simulator, leader) = start(3);
     for other in [(leader + 1) % 3, (leader + 2) % 3] {
-        shuffler.cut(leader, other);
+        simulator.block_link(leader, other);
     }
-    shuffler.propose(leader);
-    shuffler.heal();
-    shuffler.step_aside(leader);
-    shuffler.settle();
-    assert_eq!(shuffler.leader(), Some(leader));
+    simulator.propose(leader);
+    simulator.heal();
+    simulator.transfer_leadership(leader);
+    simulator.settle();
+    assert_eq!(simulator.leader(), Some(leader));
 }
 
 #[test]
 fn a_learner_whose_admission_was_reverted_asks_again() {
-    let (mut shuffler, old) = start(5);
+    let (mut simulator, old) = start(5);
     let learner = (old + 1) % 5;
-    shuffler.lose_disk(learner);
+    simulator.lose_disk(learner);
     for other in (0..5).filter(|other| *other != old && *other != learner) {
-        shuffler.cut(old, other);
-        shuffler.cut(other, old);
+        simulator.block_link(old, other);
+        simulator.block_link(other, old);
     }
-    shuffler.restart(learner);
-    shuffler.run(SETTLE_MILLIS);
+    simulator.restart(learner);
+    simulator.run(SETTLE_MILLIS);
     let admitted = |report: &ReplicaReport| matches!(report, ReplicaReport::LearnerAdded { .. });
-    let reports = &shuffler.record.reports;
+    let reports = &simulator.history.reports;
     assert!(
         reports
             .iter()
             .any(|(node, report)| *node == old && admitted(report))
     );
-    shuffler.heal();
-    shuffler.run(SpanMillis::new(8_000));
-    assert_eq!(repairs(&shuffler), 1);
-    shuffler.assert_holds_accepted(learner);
+    simulator.heal();
+    simulator.run(SpanMillis::new(8_000));
+    assert_eq!(completed_repairs(&simulator), 1);
+    simulator.assert_applied_all_acknowledged(learner);
 }
--- a/src/control/replica/tests/single_core.rs
+++ b/src/control/replica/tests/single_core.rs
@@ -4,8 +4,8 @@
     clock::{ClockMillis, SpanMillis},
     control::replica::{
         DiskId, EntryBody, EntryPayload, GroupAdmission, GroupId, GroupMembers, HardState,
-        LogEntry, LogIndex, PeerBody, PeerMessage, RecoveredState, ReplicaAction, ReplicaCore,
-        ReplicaEvent, ReplicaId, ReplicaPeers, ReplicaReport, ReplicaSeat, TermNumber,
+        LogEntry, LogIndex, MemberId, PeerBody, PeerMessage, RecoveredState, ReplicaAction,
+        ReplicaCore, ReplicaEvent, ReplicaId, ReplicaPeers, ReplicaReport, TermNumber,
     },
 };
 
@@ -18,8 +18,8 @@
     now: ClockMillis,
 }
 
-fn seat(number: u32) -> ReplicaSeat {
-    ReplicaSeat {
+fn member_id(number: u32) -> MemberId {
+    MemberId {
         replica: ReplicaId::new(number),
         disk: DiskId::new(u128::from(number) * 100),
     }
@@ -33,7 +33,7 @@
 
     /// Starts replica 1 whose data folder remembers a commit.
     fn with_commit(commit: LogIndex) -> Self {
-        let members = GroupMembers::new([seat(1), seat(2), seat(3)]);
+        let members = GroupMembers::new([member_id(1), member_id(2), member_id(3)]);
         let bodies = [
             EntryBody::Members(members),
             EntryBody::Change(EntryPayload::new(vec![1])),
@@ -45,7 +45,7 @@
         });
         let recovered = RecoveredState {
             hard_state: HardState {
-                disk: seat(1).disk,
+                disk: member_id(1).disk,
                 group: Some(GROUP),
                 term: TermNumber::new(1),
                 voted_for: None,
@@ -81,10 +81,10 @@
     }
 
     fn receive(&mut self, from: u32, term: u64, body: PeerBody) -> Vec<ReplicaAction> {
-        self.handle(ReplicaEvent::Received(PeerMessage {
+        self.handle(ReplicaEvent::MessageReceived(PeerMessage {
             group: Some(GROUP),
-            from: seat(from),
-            to: Some(seat(1).disk),
+            from: member_id(from),
+            to: Some(member_id(1).disk),
             term: TermNumber::new(term),
             body,
         }))
@@ -93,23 +93,23 @@
     /// Makes the replica leader of term 2.
     fn lead(&mut self) {
         self.handle(ReplicaEvent::Tick);
-        for trial in [true, false] {
+        for pre_vote in [true, false] {
             let granted = true;
-            self.receive(2, 2, PeerBody::VoteGiven { trial, granted });
+            self.receive(2, 2, PeerBody::VoteResponse { pre_vote, granted });
         }
     }
 
     fn ask_vote(&mut self, from: u32, term: u64) -> bool {
-        let body = PeerBody::VoteAsked {
-            trial: false,
-            urged: false,
+        let body = PeerBody::VoteRequest {
+            pre_vote: false,
+            leadership_transfer: false,
             last_index: LogIndex::new(9),
             last_term: TermNumber::new(1),
         };
         let actions = self.receive(from, term, body);
         actions.iter().any(|action| {
             matches!(action, ReplicaAction::Send { message, .. }
-                if matches!(message.body, PeerBody::VoteGiven { granted: true, .. }))
+                if matches!(message.body, PeerBody::VoteResponse { granted: true, .. }))
         })
     }
 }
@@ -125,8 +125,8 @@
 fn an_entry_of_an_old_term_is_committed_only_with_one_of_the_own() {
     let mut single = SingleCore::new();
     single.lead();
-    let held = |index| PeerBody::AppendHeld {
-        matched: LogIndex::new(index),
+    let held = |index| PeerBody::AppendAccepted {
+        match_index: LogIndex::new(index),
     };
     assert_eq!(applied(&single.receive(2, 2, held(2))), 0);
     assert_eq!(applied(&single.receive(2, 2, held(3))), 1);
@@ -149,16 +149,16 @@
     };
     let message = |group, to| PeerMessage {
         group: Some(GroupId::new(group)),
-        from: seat(2),
+        from: member_id(2),
         to: Some(DiskId::new(to)),
         term: TermNumber::new(4),
         body: body.clone(),
     };
     for (group, to) in [(1, 999), (2, 100)] {
-        single.handle(ReplicaEvent::Received(message(group, to)));
+        single.handle(ReplicaEvent::MessageReceived(message(group, to)));
         assert_eq!(single.core.view(single.now).term, TermNumber::new(1));
     }
-    single.handle(ReplicaEvent::Received(message(1, 100)));
+    single.handle(ReplicaEvent::MessageReceived(message(1, 100)));
     assert_eq!(single.core.view(single.now).term, TermNumber::new(4));
 }
 
@@ -170,7 +170,7 @@
         round: 1,
     };
     assert_eq!(applied(&single.receive(2, 4, heartbeat)), 1);
-    let other = PeerBody::Append {
+    let other = PeerBody::AppendEntries {
         previous_index: LogIndex::new(1),
         previous_term: TermNumber::new(1),
         commit: LogIndex::ZERO,
@@ -207,8 +207,8 @@
     let mut replica = SingleCore::with_commit(LogIndex::new(2));
     replica.lead();
     assert!(!replica.core.view(replica.now).caught_up);
-    let matched = LogIndex::new(3);
-    replica.receive(2, 2, PeerBody::AppendHeld { matched });
+    let match_index = LogIndex::new(3);
+    replica.receive(2, 2, PeerBody::AppendAccepted { match_index });
     assert!(replica.core.view(replica.now).caught_up);
 }
 
--- a/src/control/replica/tests/test_node.rs
+++ b/src/control/replica/tests/test_node.rs
@@ -8,24 +8,24 @@
 pub(super) struct TestNode {
     pub(super) core: Option<ReplicaCore>,
     pub(super) disk: RecoveredState,
-    pub(super) syncing: Option<DiskBatch>,
+    pub(super) pending_sync: Option<DiskBatch>,
     pub(super) state: BTreeMap<u64, Vec<u8>>,
     /// Whether an earlier disk was lost.
     pub(super) lost_disk: bool,
 }
 
 impl TestNode {
-    pub(super) fn new(generator: &mut StdRng) -> Self {
+    pub(super) fn new(rng: &mut StdRng) -> Self {
         Self {
             core: None,
-            disk: RecoveredState::new(DiskId::new(generator.random())),
-            syncing: None,
+            disk: RecoveredState::new(DiskId::new(rng.random())),
+            pending_sync: None,
             state: BTreeMap::new(),
             lost_disk: false,
         }
     }
 
-    pub(super) fn write(&mut self, batch: DiskBatch, most_entries: usize) {
+    pub(super) fn write(&mut self, batch: DiskBatch, max_entries: usize) {
         if let Some(state) = batch.hard_state {
             self.disk.hard_state = state;
         }
@@ -40,7 +40,7 @@
                 .retain(|entry| !resets && entry.index > drop_to);
             self.disk.snapshot = Some(snapshot);
         }
-        for entry in batch.entries.into_iter().take(most_entries) {
+        for entry in batch.entries.into_iter().take(max_entries) {
             self.disk.entries.retain(|held| held.index < entry.index);
             self.disk.entries.push(entry);
         }
--- a/src/control/replica_link/tests/mod.rs
+++ b/src/control/replica_link/tests/mod.rs
@@ -18,23 +18,23 @@
 };
 use crate::{
     clock::SpanMillis,
-    control::replica::{DiskId, PeerBody, PeerMessage, ReplicaId, ReplicaSeat, TermNumber},
+    control::replica::{DiskId, MemberId, PeerBody, PeerMessage, ReplicaId, TermNumber},
     secret::{DeploymentSecret, SecretStore},
 };
 
-const PATIENCE_MILLIS: SpanMillis = SpanMillis::new(20_000);
+const TEST_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(20_000);
 const ANY_PORT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
 
 fn message(term: u64) -> PeerMessage {
     PeerMessage {
         group: None,
-        from: ReplicaSeat {
+        from: MemberId {
             replica: ReplicaId::new(2),
             disk: DiskId::new(5),
         },
         to: None,
         term: TermNumber::new(term),
-        body: PeerBody::JoinAsked,
+        body: PeerBody::JoinRequest,
     }
 }
 
@@ -75,7 +75,7 @@
         terms.retain(|term| *term > 1);
         assert_eq!(terms, [2, 3, 4, 5]);
     };
-    timeout(PATIENCE_MILLIS.duration(), receive)
+    timeout(TEST_TIMEOUT_MILLIS.duration(), receive)
         .await
         .expect("messages arrive");
 }
--- a/src/control/replica_shell/replica_driver.rs
+++ b/src/control/replica_shell/replica_driver.rs
@@ -141,7 +141,7 @@
         loop {
             let event = tokio::select! {
                 _ = ticks.tick() => ReplicaEvent::Tick,
-                Some(message) = inputs.messages.recv() => ReplicaEvent::Received(message),
+                Some(message) = inputs.messages.recv() => ReplicaEvent::MessageReceived(message),
                 Some(report) = inputs.synced.recv() => match report {
                     Ok(token) => ReplicaEvent::Synced { token },
                     Err(error) => return error.into(),
@@ -166,18 +166,18 @@
                 self.proposals.insert(key, answer);
                 ReplicaEvent::Proposed { key, payload }
             }
-            ReplicaCommand::StepAside => ReplicaEvent::StepAside,
-            ReplicaCommand::MeetPeers { replicas } => {
+            ReplicaCommand::TransferLeadership => ReplicaEvent::LeadershipTransferRequested,
+            ReplicaCommand::UpdatePeers { replicas } => {
                 let members = self.core.view(self.clock.now()).members;
                 let places = members.iter().map(|member| member.seat.replica);
                 let kept: Vec<ReplicaId> = places.chain(replicas.iter().copied()).collect();
                 self.prune_links(&kept);
-                ReplicaEvent::PeersFound(replicas)
+                ReplicaEvent::PeersDiscovered(replicas)
             }
             ReplicaCommand::Read { answer } => {
                 let key = ReadKey(self.keys);
                 self.reads.insert(key, answer);
-                ReplicaEvent::ReadAsked { key }
+                ReplicaEvent::ReadRequested { key }
             }
         }
     }
--- a/src/control/replica_shell/replica_handle.rs
+++ b/src/control/replica_shell/replica_handle.rs
@@ -10,7 +10,7 @@
     clock::SpanMillis,
     control::{
         api::{CallRefusal, ReplicaRole, ReplicaStatus},
-        replica::{EntryPayload, MAX_ENTRY_BYTES, MemberVote, ReplicaId, ReplicaView},
+        replica::{EntryPayload, MAX_ENTRY_BYTES, ReplicaId, ReplicaView, VotingStatus},
         store::LeadView,
     },
     key::FeedRevision,
@@ -43,9 +43,9 @@
     /// Confirm that the state is current.
     Read { answer: oneshot::Sender<ReadAnswer> },
     /// Have another replica lead.
-    StepAside,
+    TransferLeadership,
     /// Ask these places for admission.
-    MeetPeers { replicas: Vec<ReplicaId> },
+    UpdatePeers { replicas: Vec<ReplicaId> },
 }
 
 /// Hands the calls' work to the replica; clones share it.
@@ -114,7 +114,7 @@
         let deadline = Instant::now() + HANDOVER_MILLIS.duration();
         while matches!(self.lead(), LeadView::Leading { .. }) && Instant::now() < deadline {
             // A driver that has ended leads no more.
-            let _ = self.commands.try_send(ReplicaCommand::StepAside);
+            let _ = self.commands.try_send(ReplicaCommand::TransferLeadership);
             sleep(HANDOVER_PAUSE_MILLIS.duration()).await;
         }
     }
@@ -124,7 +124,7 @@
         // A driver that is busy is told again.
         let _ = self
             .commands
-            .try_send(ReplicaCommand::MeetPeers { replicas });
+            .try_send(ReplicaCommand::UpdatePeers { replicas });
     }
 
     /// Returns the replica's view of the group.
@@ -140,7 +140,9 @@
                 term: view.term.number(),
             },
             ReplicaRole::Follower | ReplicaRole::Learner => LeadView::Following {
-                leader: view.leader.and_then(|seat| self.call_address(seat.replica)),
+                leader: view
+                    .leader
+                    .and_then(|member_id| self.call_address(member_id.replica)),
             },
         }
     }
@@ -148,16 +150,16 @@
     /// Returns the replicas of the group; `address` is this one's.
     pub(crate) fn replicas(&self, address: SocketAddrV4) -> Vec<ReplicaStatus> {
         let view = self.view.borrow();
-        let leader = view.leader.map(|seat| seat.disk);
+        let leader = view.leader.map(|member_id| member_id.disk);
         let members = view.members.iter();
         members
             .filter_map(|member| {
                 let replica = member.seat.replica;
                 let own = replica == view.seat.replica;
-                let role = match member.vote {
+                let role = match member.voting_status {
                     _ if leader == Some(member.seat.disk) => ReplicaRole::Leader,
-                    MemberVote::Voter => ReplicaRole::Follower,
-                    MemberVote::Learner => ReplicaRole::Learner,
+                    VotingStatus::Voter => ReplicaRole::Follower,
+                    VotingStatus::Learner => ReplicaRole::Learner,
                 };
                 Some(ReplicaStatus {
                     address: if own {
--- a/src/control/replica_shell/report_log.rs
+++ b/src/control/replica_shell/report_log.rs
@@ -24,14 +24,14 @@
             gauge!("cyclamen_control_leading").set(0.0);
             log_event!(error, ControlEvent::QuorumLost, %term);
         }
-        ReplicaReport::LearnerAdded { seat } => {
-            log_event!(info, ControlEvent::LearnerAdded, replica = %seat.replica, disk = %seat.disk);
+        ReplicaReport::LearnerAdded { member_id } => {
+            log_event!(info, ControlEvent::LearnerAdded, replica = %member_id.replica, disk = %member_id.disk);
         }
-        ReplicaReport::VoterRemoved { seat } => {
-            log_event!(warn, ControlEvent::VoterRemoved, replica = %seat.replica, disk = %seat.disk);
+        ReplicaReport::VoterRemoved { member_id } => {
+            log_event!(warn, ControlEvent::VoterRemoved, replica = %member_id.replica, disk = %member_id.disk);
         }
-        ReplicaReport::RepairDone { seat } => {
-            log_event!(info, ControlEvent::RepairDone, replica = %seat.replica, disk = %seat.disk);
+        ReplicaReport::RepairDone { member_id } => {
+            log_event!(info, ControlEvent::RepairDone, replica = %member_id.replica, disk = %member_id.disk);
         }
         ReplicaReport::CommittedConflict { index } => {
             log_event!(error, ControlEvent::CommittedConflict, %index);
