--- a/src/control/replica/candidate_state.rs
+++ b/src/control/replica/candidate_state.rs
@@ -2,28 +2,28 @@
 
 use super::{DiskId, leader_state::LeaderState};
 
-/// What a replica does in the group at the moment.
+/// The Raft role of a replica.
 #[derive(Debug)]
 pub(crate) enum CoreRole {
-    /// Receives the log, if there is a leader.
+    /// Receives the log from the leader, if there is one.
     Follower,
-    /// Asks for votes.
+    /// Requests votes or pre-votes.
     Candidate(CandidateState),
-    /// Orders the changes.
+    /// Appends proposals and replicates the log.
     Leader(Box<LeaderState>),
 }
 
-/// The votes that a candidate has got.
+/// The votes that a candidate has received.
 #[derive(Debug)]
 pub(crate) struct CandidateState {
-    /// Whether the term is only tried.
+    /// Whether these are pre-votes.
     pub(crate) pre_vote: bool,
-    /// Who has given its vote, the candidate included.
+    /// The data folders that granted their vote, the candidate's included.
     pub(crate) votes: BTreeSet<DiskId>,
 }
 
 impl CandidateState {
-    /// Creates a candidate that has its own vote.
+    /// Creates a candidate with its own vote.
     pub(crate) fn new(own: DiskId, pre_vote: bool) -> Self {
         Self {
             pre_vote,
--- a/src/control/replica/disk_queue.rs
+++ b/src/control/replica/disk_queue.rs
@@ -1,38 +1,37 @@
 use super::{GroupSnapshot, HardState, LogEntry, LogIndex, PeerMessage, ReplicaId};
 
-/// Names a batch until it is synced.
+/// Identifies a batch until it is synced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub(crate) struct SyncToken(pub(crate) u64);
 
-/// What has to be written and synced together, in the order of the fields.
+/// Changes to the data folder that are written and synced together, in the
+/// order of the fields.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub(crate) struct DiskBatch {
-    /// Names the batch when it is reported.
+    /// Returned when the batch is synced.
     pub(crate) token: SyncToken,
-    /// The new term, vote or group.
+    /// A new term, vote or group.
     pub(crate) hard_state: Option<HardState>,
-    /// A new snapshot.
     pub(crate) snapshot: Option<GroupSnapshot>,
-    /// Whether the snapshot replaces every entry that was written before.
+    /// Whether the snapshot replaces all entries written before.
     pub(crate) resets_log: bool,
-    /// The last entry that may be dropped once the snapshot is synced.
+    /// Entries up to this index may be removed once the snapshot is synced.
     pub(crate) drop_to: LogIndex,
-    /// Entries; the first one replaces what was written at its place or after.
+    /// Entries to append; the first replaces earlier entries from its index on.
     pub(crate) entries: Vec<LogEntry>,
-    /// The last entry that is committed, if that is to be remembered.
+    /// The commit index to save, if any.
     pub(crate) commit: Option<LogIndex>,
 }
 
-/// A message that must not leave before a batch is synced.
+/// A message that must not be sent before a batch is synced.
 #[derive(Debug, Clone)]
 pub(crate) struct DeferredMessage {
-    /// The place of the peer.
+    /// The receiver.
     pub(crate) to: ReplicaId,
     /// The message.
     pub(crate) message: PeerMessage,
 }
 
-/// A batch that is being synced.
 #[derive(Debug)]
 struct SyncInFlight {
     token: SyncToken,
@@ -40,8 +39,8 @@
     deferred: Vec<DeferredMessage>,
 }
 
-/// Gathers what has to be synced; one batch is under way at a time, and what
-/// comes in meanwhile shares the next one.
+/// Group commit: at most one batch is being synced, and writes that arrive
+/// meanwhile share the next batch.
 #[derive(Debug)]
 pub(crate) struct DiskQueue {
     batch: DiskBatch,
@@ -52,7 +51,7 @@
 }
 
 impl DiskQueue {
-    /// Creates a queue for a data folder that holds the log up to `durable_index`.
+    /// Creates a queue for a data folder with a log up to `durable_index`.
     pub(crate) fn new(durable_index: LogIndex) -> Self {
         Self {
             batch: DiskBatch::default(),
@@ -63,24 +62,24 @@
         }
     }
 
-    /// Returns the last entry that is synced.
+    /// Returns the index of the last synced entry.
     pub(crate) fn durable_index(&self) -> LogIndex {
         self.durable_index
     }
 
-    /// Adds a new term, vote or group.
+    /// Queues a new term, vote or group.
     pub(crate) fn save_hard_state(&mut self, state: HardState) {
         self.batch.hard_state = Some(state);
         self.dirty = true;
     }
 
-    /// Adds the last entry that is committed.
+    /// Queues the commit index.
     pub(crate) fn save_commit(&mut self, commit: LogIndex) {
         self.batch.commit = Some(commit);
         self.dirty = true;
     }
 
-    /// Adds an entry; it replaces what was added at its place or after.
+    /// Queues an entry; it replaces earlier entries from its index on.
     pub(crate) fn save_entry(&mut self, entry: LogEntry) {
         let first = entry.index;
         self.batch.entries.retain(|earlier| earlier.index < first);
@@ -92,14 +91,14 @@
         self.dirty = true;
     }
 
-    /// Adds a snapshot of what the log holds already.
+    /// Queues a snapshot of a prefix of the log.
     pub(crate) fn save_snapshot(&mut self, snapshot: GroupSnapshot, drop_to: LogIndex) {
         self.batch.snapshot = Some(snapshot);
         self.batch.drop_to = drop_to;
         self.dirty = true;
     }
 
-    /// Adds a snapshot that replaces the whole log.
+    /// Queues a snapshot that replaces the whole log.
     pub(crate) fn replace_log(&mut self, snapshot: GroupSnapshot) {
         self.batch.entries.clear();
         self.batch.resets_log = true;
@@ -111,9 +110,9 @@
         self.save_snapshot(snapshot, index);
     }
 
-    /// Holds a message back until everything added so far is synced.
+    /// Defers a message until everything queued so far is synced.
     ///
-    /// Returns the message if nothing is to be waited for.
+    /// Returns the message if there is nothing to wait for.
     pub(crate) fn defer(&mut self, deferred: DeferredMessage) -> Option<DeferredMessage> {
         if self.dirty {
             self.deferred.push(deferred);
@@ -128,7 +127,7 @@
         }
     }
 
-    /// Returns the next batch if there is one and none is under way.
+    /// Returns the next batch, unless it is empty or another one is being synced.
     pub(crate) fn next_batch(&mut self) -> Option<DiskBatch> {
         if !self.dirty || self.in_flight.is_some() {
             return None;
@@ -155,7 +154,7 @@
         Some(batch)
     }
 
-    /// Notes that a batch is synced; returns the messages that may leave.
+    /// Records that a batch is synced; returns the messages that may be sent now.
     pub(crate) fn finish(&mut self, token: SyncToken) -> Vec<DeferredMessage> {
         let Some(sync) = self.in_flight.take_if(|sync| sync.token == token) else {
             return Vec::new();
--- a/src/control/replica/election.rs
+++ b/src/control/replica/election.rs
@@ -1,5 +1,5 @@
-//! Elections: trial votes first, so that a replica that was cut off does not
-//! depose a leader that a majority hears.
+//! Elections with pre-vote, so that a replica that was partitioned away does not
+//! depose a leader that a majority hears from, and with check-quorum.
 
 use super::{
     DiskId, EntryBody, LogIndex, MemberId, PeerBody, ReplicaCore, ReplicaReport, TermNumber,
@@ -10,7 +10,7 @@
 use crate::clock::ClockMillis;
 
 impl ReplicaCore {
-    /// Asks whether an election could be won, without a new term.
+    /// Starts a pre-vote: asks for support without starting a new term.
     pub(super) fn start_pre_vote(&mut self, now: ClockMillis) {
         self.leader = None;
         if !self.log.members().is_voter(self.hard_state.disk) {
@@ -23,7 +23,7 @@
         self.count_votes(now);
     }
 
-    /// Asks for votes in a new term.
+    /// Starts an election in a new term.
     pub(super) fn start_election(&mut self, leadership_transfer: bool, now: ClockMillis) {
         self.hard_state.term = self.hard_state.term.next();
         self.hard_state.voted_for = Some(self.hard_state.disk);
@@ -81,7 +81,7 @@
         self.send_heartbeats(now);
     }
 
-    /// Answers a request for a vote.
+    /// Answers a vote or pre-vote request; `last` is the candidate's last entry.
     pub(super) fn handle_vote_request(
         &mut self,
         from: MemberId,
@@ -90,17 +90,17 @@
         last: (TermNumber, LogIndex),
         now: ClockMillis,
     ) {
-        let current = last >= (self.log.last_term(), self.log.last_index());
+        let up_to_date = last >= (self.log.last_term(), self.log.last_index());
         if pre_vote {
-            let granted = current && term > self.hard_state.term;
+            let granted = up_to_date && term > self.hard_state.term;
             self.send_after_sync_in(term, from, PeerBody::VoteResponse { pre_vote, granted });
             return;
         }
-        let free = match self.hard_state.voted_for {
+        let may_vote = match self.hard_state.voted_for {
             None => true,
             Some(disk) => disk == from.disk,
         };
-        let granted = current && free;
+        let granted = up_to_date && may_vote;
         if granted {
             self.hard_state.voted_for = Some(from.disk);
             self.disk.save_hard_state(self.hard_state);
@@ -109,7 +109,8 @@
         self.send_after_sync_in(term, from, PeerBody::VoteResponse { pre_vote, granted });
     }
 
-    /// Returns whether a leader was heard so lately that no vote is given.
+    /// Returns whether a leader was heard from within the shortest election timeout,
+    /// or is this replica. Votes are then granted only for a leadership transfer.
     pub(super) fn has_recent_leader(&self, now: ClockMillis) -> bool {
         match self.role {
             CoreRole::Leader(_) => true,
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Counts a vote for this candidate.
+    /// Counts a granted vote or pre-vote, unless it is for another election.
     pub(super) fn handle_vote_response(
         &mut self,
         from: DiskId,
@@ -132,27 +133,28 @@
         let CoreRole::Candidate(candidate) = &mut self.role else {
             return;
         };
-        let asked = if pre_vote { own_term.next() } else { own_term };
-        if candidate.pre_vote != pre_vote || term != asked {
+        let requested_term = if pre_vote { own_term.next() } else { own_term };
+        if candidate.pre_vote != pre_vote || term != requested_term {
             return;
         }
         candidate.votes.insert(from);
         self.count_votes(now);
     }
 
-    /// Steps down when a majority has not been heard for a whole election.
+    /// Check-quorum: steps down without contact from a majority for the longest
+    /// election timeout.
     pub(super) fn check_quorum(&mut self, now: ClockMillis) {
         let CoreRole::Leader(leader) = &self.role else {
             return;
         };
         let own = self.hard_state.disk;
-        let heard = |disk: DiskId| {
+        let is_responsive = |disk: DiskId| {
             disk == own
                 || leader.progress.get(&disk).is_some_and(|progress| {
                     now.since(progress.last_contact_at) < ELECTION_MAX_MILLIS
                 })
         };
-        if self.log.members().has_majority(heard) {
+        if self.log.members().has_majority(is_responsive) {
             return;
         }
         if let Some(term) = self.step_down() {
@@ -161,9 +163,9 @@
         self.reset_election_timer(now);
     }
 
-    /// Stops leading or running for votes; returns the term that was led.
+    /// Stops leading or being a candidate; returns the term that was led.
     ///
-    /// Every proposal that waits is answered as unknown, every read is refused.
+    /// Pending proposals are answered as unknown, pending reads are refused.
     pub(super) fn step_down(&mut self) -> Option<TermNumber> {
         let role = std::mem::replace(&mut self.role, CoreRole::Follower);
         let CoreRole::Leader(leader) = role else {
--- a/src/control/replica/follower_reads.rs
+++ b/src/control/replica/follower_reads.rs
@@ -1,4 +1,5 @@
-//! Reads at a follower: the leader confirms, the follower answers.
+//! Reads on a follower: it gets a read index from the leader and answers once that
+//! index is applied.
 
 use super::{
     LogIndex, MemberId, PeerBody, ReadKey, ReadOutcome, ReplicaCore,
@@ -6,7 +7,7 @@
 };
 use crate::clock::ClockMillis;
 
-/// The reads that the leader was asked to confirm, under one name.
+/// Reads that share one read-index request to the leader.
 #[derive(Debug)]
 struct RequestedReads {
     sequence: u64,
@@ -14,7 +15,7 @@
     keys: Vec<ReadKey>,
 }
 
-/// Reads that wait until this follower has applied enough.
+/// Reads that wait until their read index is applied.
 #[derive(Debug)]
 struct ConfirmedReads {
     index: LogIndex,
@@ -22,7 +23,10 @@
     keys: Vec<ReadKey>,
 }
 
-/// What a follower keeps of its clients' reads.
+/// Pending client reads of a follower.
+///
+/// At most one read-index request is in flight; reads that arrive meanwhile share
+/// the next one.
 #[derive(Debug, Default)]
 pub(crate) struct FollowerReads {
     sequence: u64,
@@ -40,7 +44,8 @@
 }
 
 impl ReplicaCore {
-    /// Hands a read on to the leader, with those that came in meanwhile.
+    /// Queues a read and requests a read index from the leader unless a request is
+    /// in flight.
     pub(super) fn forward_read(&mut self, key: ReadKey, leader: MemberId, now: ClockMillis) {
         if self.follower_reads.len() >= MAX_PENDING_READS {
             self.answer_read(key, ReadOutcome::Overloaded);
@@ -64,7 +69,7 @@
         self.send(leader, PeerBody::ReadIndexRequest { sequence });
     }
 
-    /// Takes the leader's answer.
+    /// Handles the leader's response to a read-index request.
     pub(super) fn handle_read_index_response(
         &mut self,
         sequence: u64,
@@ -81,7 +86,7 @@
                 deadline: reads.deadline,
                 keys: reads.keys,
             }),
-            None => self.refuse_all(reads.keys),
+            None => self.refuse_reads(reads.keys),
         }
         self.answer_applied_reads();
         if let Some(leader) = self.leader {
@@ -89,7 +94,7 @@
         }
     }
 
-    /// Answers the reads for which enough is applied.
+    /// Answers the reads whose read index is applied.
     pub(super) fn answer_applied_reads(&mut self) {
         let applied = self.applied;
         let ready: Vec<ConfirmedReads> = self
@@ -104,25 +109,25 @@
         }
     }
 
-    /// Refuses the reads that have waited too long.
+    /// Refuses the reads whose deadline has passed.
     pub(super) fn expire_reads(&mut self, now: ClockMillis) {
         let requested = &mut self.follower_reads.requested;
         if let Some(reads) = requested.take_if(|reads| now >= reads.deadline) {
-            self.refuse_all(reads.keys);
+            self.refuse_reads(reads.keys);
             let queued = std::mem::take(&mut self.follower_reads.queued);
-            self.refuse_all(queued);
+            self.refuse_reads(queued);
         }
-        let late: Vec<ConfirmedReads> = self
+        let expired: Vec<ConfirmedReads> = self
             .follower_reads
             .confirmed
             .extract_if(.., |reads| now >= reads.deadline)
             .collect();
-        for reads in late {
-            self.refuse_all(reads.keys);
+        for reads in expired {
+            self.refuse_reads(reads.keys);
         }
     }
 
-    fn refuse_all(&mut self, keys: Vec<ReadKey>) {
+    fn refuse_reads(&mut self, keys: Vec<ReadKey>) {
         for key in keys {
             self.answer_read(key, ReadOutcome::Refused);
         }
--- a/src/control/replica/formation.rs
+++ b/src/control/replica/formation.rs
@@ -1,4 +1,4 @@
-//! How a group starts, and how a replica with an empty disk finds it.
+//! Forming a group, and admission of replicas to an existing one.
 
 use rand::Rng;
 
@@ -11,10 +11,11 @@
 use crate::clock::ClockMillis;
 
 impl ReplicaCore {
-    /// Asks for admission while this data folder does not count.
+    /// Requests admission, or forms the group, while this replica has no leader and
+    /// is no voter.
     ///
-    /// A learner that hears no leader asks again: its admission may have been
-    /// reverted with the leader that made it.
+    /// A learner without a leader asks again: its admission may have been rolled
+    /// back with the leader that appended it.
     pub(super) fn request_admission(&mut self, now: ClockMillis) {
         if now < self.next_join_at || self.leader.is_some() {
             return;
@@ -33,13 +34,15 @@
         }
     }
 
-    /// Returns whether an open group may have removed this voter meanwhile.
+    /// Returns whether an open group may have removed this voter.
     fn may_have_been_removed(&self, now: ClockMillis) -> bool {
         self.peers.admission.is_open() && now.since(self.leader_contact_at) >= REJOIN_MILLIS
     }
 
-    /// Replaces the places to ask for admission; a replica that may still form
-    /// the group keeps those that it forms the group with.
+    /// Replaces the peers to ask for admission.
+    ///
+    /// A replica that may still form the group keeps the peers that it would form
+    /// it with.
     pub(super) fn update_peers(&mut self, replicas: Vec<ReplicaId>) {
         if self.hard_state.group.is_none() && self.peers.admission.may_form_group() {
             return;
@@ -49,8 +52,8 @@
         self.peers.others.retain(|replica| *replica != own);
     }
 
-    /// Returns whether every listed replica has said that its disk is empty,
-    /// and this one is the first of them.
+    /// Returns whether every listed peer has recently reported an empty disk and
+    /// this replica has the lowest identifier.
     fn can_form_group(&self, now: ClockMillis) -> bool {
         self.peers.admission.may_form_group()
             && self.peers.others.iter().all(|replica| {
@@ -80,7 +83,9 @@
         self.start_pre_vote(now);
     }
 
-    /// Hears a replica that is in no group.
+    /// Handles a join request: a leader queues it, a follower of an open group
+    /// forwards it, and a replica that may still form the group reports its empty
+    /// disk.
     pub(super) fn handle_join_request(&mut self, message: &PeerMessage) {
         let from = message.from;
         if self.hard_state.group.is_none() {
@@ -90,17 +95,17 @@
             return;
         }
         let is_foreign = message.group.is_some() && message.group != self.hard_state.group;
-        let welcome = self.peers.admission.is_open() || self.peers.others.contains(&from.replica);
-        if is_foreign || !welcome {
+        let may_join = self.peers.admission.is_open() || self.peers.others.contains(&from.replica);
+        if is_foreign || !may_join {
             return;
         }
         if !matches!(self.role, CoreRole::Leader(_)) {
             self.forward_join(message);
             return;
         }
-        let known = self.log.members().find(from.disk).is_some();
+        let is_member = self.log.members().find(from.disk).is_some();
         if let CoreRole::Leader(leader) = &mut self.role
-            && !known
+            && !is_member
         {
             leader
                 .join_requests
@@ -111,8 +116,9 @@
         }
     }
 
-    /// Hands a request for admission on to the leader, which the sender may not
-    /// know; a request that was handed on already goes no further.
+    /// Forwards a join request to the leader, which the sender may not know.
+    ///
+    /// A request that was already forwarded goes no further.
     fn forward_join(&mut self, message: &PeerMessage) {
         if let Some(leader) = self.leader
             && self.peers.admission.is_open()
@@ -127,8 +133,10 @@
         }
     }
 
-    /// Hears that a peer's disk is empty; the answer names this data folder,
-    /// so it was given after this replica had started.
+    /// Records that a peer's disk is empty.
+    ///
+    /// Only an answer addressed to this data folder counts: it was given after this
+    /// replica started.
     pub(super) fn handle_empty_disk(&mut self, message: &PeerMessage, now: ClockMillis) {
         if self.hard_state.group.is_none() && message.group.is_none() && message.to.is_some() {
             let MemberId { replica, disk } = message.from;
--- a/src/control/replica/group_members.rs
+++ b/src/control/replica/group_members.rs
@@ -2,32 +2,30 @@
 
 use super::{DiskId, MemberId, ReplicaId};
 
-/// Whether a member counts in majorities.
+/// Whether a member counts towards majorities.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum VotingStatus {
-    /// It votes and its copy counts.
+    /// Votes, and its acknowledgements count towards a commit.
     Voter,
-    /// It receives the log and does not count yet.
+    /// Receives the log but counts towards no majority.
     Learner,
 }
 
 /// One member of the group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct GroupMember {
-    /// The replica and its data folder.
     pub(crate) id: MemberId,
-    /// Whether it counts.
     pub(crate) voting_status: VotingStatus,
 }
 
-/// The members of the group as one entry of the log sets them.
+/// A membership configuration of the group, as set by one log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct GroupMembers {
     members: Vec<GroupMember>,
 }
 
 impl GroupMembers {
-    /// Creates a group in which every seat votes.
+    /// Creates a group whose members are all voters.
     pub(crate) fn new(member_ids: impl IntoIterator<Item = MemberId>) -> Self {
         let members = member_ids
             .into_iter()
@@ -39,29 +37,29 @@
         Self { members }
     }
 
-    /// Returns every member.
+    /// Returns all members, voters and learners.
     pub(crate) fn list(&self) -> &[GroupMember] {
         &self.members
     }
 
-    /// Returns the member with this data folder.
+    /// Returns the member on this data folder.
     pub(crate) fn find(&self, disk: DiskId) -> Option<&GroupMember> {
         self.members.iter().find(|member| member.id.disk == disk)
     }
 
-    /// Returns whether the data folder votes.
+    /// Returns whether the data folder is a voter.
     pub(crate) fn is_voter(&self, disk: DiskId) -> bool {
         self.find(disk)
             .is_some_and(|member| member.voting_status == VotingStatus::Voter)
     }
 
-    /// Returns the voter on this place other than `disk`.
+    /// Returns the replica's voter on a data folder other than `disk`.
     pub(crate) fn other_voter(&self, replica: ReplicaId, disk: DiskId) -> Option<MemberId> {
         self.voters()
             .find(|member_id| member_id.replica == replica && member_id.disk != disk)
     }
 
-    /// Returns the member_ids that vote.
+    /// Returns the voters.
     pub(crate) fn voters(&self) -> impl Iterator<Item = MemberId> {
         self.members
             .iter()
@@ -69,17 +67,18 @@
             .map(|member| member.id)
     }
 
-    /// Returns whether a majority of the voters satisfies `holds`.
-    pub(crate) fn has_majority(&self, mut holds: impl FnMut(DiskId) -> bool) -> bool {
+    /// Returns whether `is_counted` holds for a majority of the voters.
+    pub(crate) fn has_majority(&self, mut is_counted: impl FnMut(DiskId) -> bool) -> bool {
         let voters = self.voters().count();
-        let holding = self
+        let counted = self
             .voters()
-            .filter(|member_id| holds(member_id.disk))
+            .filter(|member_id| is_counted(member_id.disk))
             .count();
-        voters > 0 && holding * 2 > voters
+        voters > 0 && counted * 2 > voters
     }
 
-    /// Returns the largest value that a majority of the voters has reached.
+    /// Returns the largest value that a majority of the voters has reached; the
+    /// default without voters.
     pub(crate) fn majority_value<T: Ord + Default + Copy>(
         &self,
         value: impl FnMut(DiskId) -> T,
@@ -93,7 +92,7 @@
         values.get(values.len() / 2).copied().unwrap_or_default()
     }
 
-    /// Returns the group with a learner on this seat; it takes the place of an
+    /// Returns the group with this member added as a learner; it replaces an
     /// earlier learner of the same replica.
     #[must_use]
     pub(crate) fn with_learner(&self, id: MemberId) -> Self {
@@ -108,7 +107,7 @@
         Self { members }
     }
 
-    /// Returns the group in which the learner with this data folder votes.
+    /// Returns the group with the learner on this data folder made a voter.
     #[must_use]
     pub(crate) fn with_voter(&self, disk: DiskId) -> Self {
         let mut members = self.members.clone();
@@ -120,7 +119,7 @@
         Self { members }
     }
 
-    /// Returns the group without the member with this data folder.
+    /// Returns the group without the member on this data folder.
     #[must_use]
     pub(crate) fn without(&self, disk: DiskId) -> Self {
         let mut members = self.members.clone();
--- a/src/control/replica/group_snapshot.rs
+++ b/src/control/replica/group_snapshot.rs
@@ -2,15 +2,15 @@
 
 use super::{EntryPayload, GroupMembers, LogIndex, TermNumber};
 
-/// The replicated state after one entry; it stands for the log up to there.
+/// Snapshot of the replicated state; it replaces the log up to its last entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct GroupSnapshot {
-    /// The last entry that the state includes.
+    /// Index of the last included entry.
     pub(crate) index: LogIndex,
-    /// That entry's term.
+    /// Term of the last included entry.
     pub(crate) term: TermNumber,
-    /// The group's members after that entry.
+    /// The group's members as of that entry.
     pub(crate) members: GroupMembers,
-    /// The state, as the state machine wrote it.
+    /// The state, encoded by the state machine.
     pub(crate) payload: EntryPayload,
 }
--- a/src/control/replica/hard_state.rs
+++ b/src/control/replica/hard_state.rs
@@ -2,16 +2,16 @@
 
 use super::{DiskId, GroupId, GroupSnapshot, LogEntry, LogIndex, TermNumber};
 
-/// What a replica must remember besides the log.
+/// Raft's persistent state besides the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct HardState {
     /// The identity of the data folder.
     pub(crate) disk: DiskId,
-    /// The group that the data folder belongs to, once it does.
+    /// The group that the data folder belongs to, if any.
     pub(crate) group: Option<GroupId>,
-    /// The newest term that was heard of.
+    /// The latest term seen.
     pub(crate) term: TermNumber,
-    /// Who got this data folder's vote in that term.
+    /// The candidate that got this data folder's vote in that term.
     pub(crate) voted_for: Option<DiskId>,
 }
 
@@ -27,41 +27,41 @@
     }
 }
 
-/// What a replica finds in its data folder when it starts.
+/// The content of a data folder when the replica starts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct RecoveredState {
-    /// Term, vote and identity.
+    /// Identity, term and vote.
     pub(crate) hard_state: HardState,
     /// The newest snapshot.
     pub(crate) snapshot: Option<GroupSnapshot>,
-    /// The entries in order without gaps.
+    /// The entries in order, without gaps.
     pub(crate) entries: Vec<LogEntry>,
-    /// The last entry that was known to be committed, zero if unknown.
+    /// The last saved commit index, zero if none was saved.
     pub(crate) commit: LogIndex,
 }
 
 impl RecoveredState {
-    /// Returns whether the entries belong to the log that the snapshot stands
-    /// for: they include its last entry or begin right after it.
+    /// Returns whether the entries continue the snapshot's log: they include its
+    /// last entry or begin right after it.
     pub(crate) fn entries_connect(&self) -> bool {
         let Some(snapshot) = &self.snapshot else {
             return true;
         };
-        let overlap =
+        let is_included =
             |entry: &LogEntry| entry.index == snapshot.index && entry.term == snapshot.term;
         let first = self.entries.first().map(|entry| entry.index);
-        first == Some(snapshot.index.next()) || self.entries.iter().any(overlap)
+        first == Some(snapshot.index.next()) || self.entries.iter().any(is_included)
     }
 
-    /// Returns whether entries are missing between the snapshot, or the
-    /// beginning of the log, and the first entry.
+    /// Returns whether entries are missing before the first one: after the
+    /// snapshot or, without a snapshot, from the start of the log.
     pub(crate) fn lacks_entries(&self) -> bool {
-        let held = self.snapshot.as_ref().map(|snapshot| snapshot.index);
-        let next = held.unwrap_or_default().next();
+        let snapshot_index = self.snapshot.as_ref().map(|snapshot| snapshot.index);
+        let next = snapshot_index.unwrap_or_default().next();
         self.entries.first().is_some_and(|first| first.index > next)
     }
 
-    /// Creates what an empty data folder holds.
+    /// Creates the content of an empty data folder.
     #[cfg(test)]
     pub(crate) const fn new(disk: DiskId) -> Self {
         Self {
--- a/src/control/replica/identity.rs
+++ b/src/control/replica/identity.rs
@@ -2,31 +2,30 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The number of a replica's place in the control group.
+/// Identifies a replica of the control group, whatever data folder it uses.
 ///
-/// It comes from the settings, or is the IPv4 address where places are found by
-/// discovery.
+/// It is a number from the settings, or the replica's IPv4 address when replicas
+/// are found by discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct ReplicaId(u32);
 
 impl ReplicaId {
-    /// Wraps the number from the settings.
+    /// Creates an identifier from the number in the settings.
     pub(crate) const fn new(number: u32) -> Self {
         Self(number)
     }
 
-    /// Names the place at an address.
+    /// Creates the identifier of the replica at an address.
     pub(crate) const fn at(address: Ipv4Addr) -> Self {
         Self(address.to_bits())
     }
 
-    /// Returns the address that names the place.
+    /// Returns the address of a replica that was found by discovery.
     pub(crate) const fn address(self) -> Ipv4Addr {
         Ipv4Addr::from_bits(self.0)
     }
 
-    /// Returns the plain number.
     #[cfg(test)]
     pub(crate) const fn number(self) -> u32 {
         self.0
@@ -35,7 +34,7 @@
 
 impl fmt::Display for ReplicaId {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Numbers from settings are below 256, addresses above.
+        // Numbers from settings are below 256, addresses are not.
         match u8::try_from(self.0) {
             Ok(number) => write!(formatter, "{number}"),
             Err(_) => write!(formatter, "{}", self.address()),
@@ -43,13 +42,14 @@
     }
 }
 
-/// A random number that names one data folder; votes are counted by it.
+/// Random identifier of a data folder. Votes and acknowledgements are counted
+/// per data folder, not per replica.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct DiskId(u128);
 
 impl DiskId {
-    /// Wraps a number drawn elsewhere.
+    /// Creates an identifier from a random number.
     pub(crate) const fn new(number: u128) -> Self {
         Self(number)
     }
@@ -67,13 +67,13 @@
     }
 }
 
-/// A random number that names one control group from its formation on.
+/// Random identifier of a control group, drawn when the group is formed.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct GroupId(u128);
 
 impl GroupId {
-    /// Wraps a number drawn elsewhere.
+    /// Creates an identifier from a random number.
     pub(crate) const fn new(number: u128) -> Self {
         Self(number)
     }
@@ -91,11 +91,13 @@
     }
 }
 
-/// A replica together with the data folder that it runs on.
+/// Identifies a member of the group: a replica on one data folder.
+///
+/// A replica that lost its data folder comes back as another member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub(crate) struct MemberId {
-    /// The place in the group.
+    /// The replica.
     pub(crate) replica: ReplicaId,
-    /// The data folder that votes and acknowledges.
+    /// Its data folder.
     pub(crate) disk: DiskId,
 }
--- a/src/control/replica/leader_state.rs
+++ b/src/control/replica/leader_state.rs
@@ -6,18 +6,18 @@
 };
 use crate::clock::ClockMillis;
 
-/// A proposal that waits for its commit.
+/// A proposal that waits to be committed.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PendingProposal {
-    /// Its place in the log.
+    /// Its index in the log.
     pub(crate) index: LogIndex,
-    /// Names it in its answer.
+    /// Correlates the answer.
     pub(crate) key: ProposalKey,
-    /// Its bytes.
+    /// Size of its payload.
     pub(crate) bytes: usize,
 }
 
-/// Who waits for the confirmation of a read.
+/// Where a read came from.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum ReadSource {
     /// A client of this replica.
@@ -26,49 +26,47 @@
     Follower {
         /// The follower.
         member_id: MemberId,
-        /// The follower's name for the read.
+        /// The follower's number of the request.
         sequence: u64,
     },
 }
 
-/// A read that waits until a majority has answered a heartbeat round.
+/// A read that waits until a majority answers a heartbeat round.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PendingRead {
     /// The round that confirms it.
     pub(crate) round: u64,
-    /// What was committed when it was asked for.
+    /// The read index: the commit index when the read was requested.
     pub(crate) index: LogIndex,
-    /// Who waits.
     pub(crate) source: ReadSource,
 }
 
-/// What only a leader keeps.
+/// State that only a leader has.
 #[derive(Debug)]
 pub(crate) struct LeaderState {
-    /// The term that it leads.
     pub(crate) term: TermNumber,
-    /// Every other member.
+    /// The replication state of every other member.
     pub(crate) progress: BTreeMap<DiskId, PeerProgress>,
-    /// Proposals in the order of the log.
+    /// Proposals in log order.
     pub(crate) proposals: VecDeque<PendingProposal>,
-    /// The bytes of these proposals.
+    /// Size of the payloads of `proposals`.
     pub(crate) pending_bytes: usize,
-    /// Reads in the order of their rounds.
+    /// Reads in the order of their heartbeat rounds.
     pub(crate) reads: VecDeque<PendingRead>,
-    /// The newest heartbeat round that was sent.
+    /// The latest heartbeat round that was sent.
     pub(crate) heartbeat_round: u64,
-    /// When the next round is due.
+    /// When the next heartbeat is due.
     pub(crate) heartbeat_at: ClockMillis,
-    /// The empty entry of this term.
+    /// Index of the no-op entry that starts this term.
     pub(crate) first_index: LogIndex,
-    /// Replicas that asked to join.
+    /// Replicas that requested to join.
     pub(crate) join_requests: Vec<MemberId>,
-    /// Repaired replicas and the entry that made them count.
+    /// Learners that were made voters, and the index of the entry that did so.
     pub(crate) pending_promotions: Vec<(MemberId, LogIndex)>,
 }
 
 impl LeaderState {
-    /// Creates the state of a leader whose log ends at `last_index`.
+    /// Creates the state of a new leader whose log ends at `last_index`.
     pub(crate) fn new(term: TermNumber, last_index: LogIndex, now: ClockMillis) -> Self {
         Self {
             term,
@@ -84,7 +82,7 @@
         }
     }
 
-    /// Follows a change of the members.
+    /// Applies a membership change: tracks new members, forgets removed ones.
     pub(crate) fn update_members(
         &mut self,
         members: &GroupMembers,
--- a/src/control/replica/leadership_transfer.rs
+++ b/src/control/replica/leadership_transfer.rs
@@ -1,5 +1,5 @@
-//! Handing leadership over before a planned stop, so that nobody waits for an
-//! election.
+//! Leadership transfer before a planned stop, so that clients need not wait for
+//! an election timeout.
 
 use super::{
     MemberId, PeerBody, ReplicaCore, candidate_state::CoreRole, limits::ELECTION_MIN_MILLIS,
@@ -7,9 +7,9 @@
 use crate::clock::ClockMillis;
 
 impl ReplicaCore {
-    /// Urges a voter that lacks nothing to be elected at once.
+    /// Has a voter with the whole log start an election at once.
     ///
-    /// Nothing happens if there is none at the moment; the shell asks again.
+    /// Does nothing if there is no such voter; the shell asks again.
     pub(super) fn transfer_leadership(&mut self, now: ClockMillis) {
         let CoreRole::Leader(leader) = &self.role else {
             return;
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Starts an election since the leader itself asks for it.
+    /// Starts an election at the request of the current leader.
     pub(super) fn handle_timeout_now(&mut self, from: MemberId, now: ClockMillis) {
         let is_voter = self.log.members().is_voter(self.hard_state.disk);
         if self.leader == Some(from) && is_voter {
--- a/src/control/replica/limits.rs
+++ b/src/control/replica/limits.rs
@@ -1,63 +1,67 @@
 use crate::clock::SpanMillis;
 
-/// How often the shell wakes the core.
+/// Interval between tick events.
 pub(crate) const TICK_MILLIS: SpanMillis = SpanMillis::new(25);
-/// How often a leader speaks to each member.
+/// Interval between a leader's heartbeats.
 pub(crate) const HEARTBEAT_MILLIS: SpanMillis = SpanMillis::new(150);
-/// The shortest silence of a leader after which an election may start.
+/// Shortest election timeout. A replica that heard from a leader more recently
+/// grants no vote.
 pub(crate) const ELECTION_MIN_MILLIS: SpanMillis = SpanMillis::new(600);
-/// The longest silence of a leader after which an election starts; a leader
-/// that has not heard a majority for as long steps down.
+/// Longest election timeout. A leader that has not heard from a majority for
+/// this long steps down.
 pub(crate) const ELECTION_MAX_MILLIS: SpanMillis = SpanMillis::new(1_200);
-/// The shortest wait for a leader after a start; trial votes keep a replica that
-/// starts alone from disturbing a leader.
+/// Shortest election timeout after a start. It may be short because pre-votes
+/// keep a replica that starts alone from deposing a leader.
 pub(crate) const FIRST_ELECTION_MIN_MILLIS: SpanMillis = SpanMillis::new(150);
-/// The longest wait for a leader after a start.
+/// Longest election timeout after a start.
 pub(crate) const FIRST_ELECTION_MAX_MILLIS: SpanMillis = SpanMillis::new(500);
-/// The shortest pause before a candidate that was not elected tries again.
+/// Shortest pause before a candidate that was not elected tries again.
 pub(crate) const ELECTION_RETRY_MIN_MILLIS: SpanMillis = SpanMillis::new(100);
-/// The longest pause before a candidate that was not elected tries again.
+/// Longest pause before a candidate that was not elected tries again.
 pub(crate) const ELECTION_RETRY_MAX_MILLIS: SpanMillis = SpanMillis::new(400);
-/// How long entries or a chunk may stay unanswered before they are sent again.
+/// Time without an acknowledgement after which entries or a snapshot chunk are
+/// sent again.
 pub(crate) const RESEND_MILLIS: SpanMillis = SpanMillis::new(1_000);
-/// How often a replica outside the group asks to join.
+/// Interval between join requests.
 pub(crate) const JOIN_RETRY_MILLIS: SpanMillis = SpanMillis::new(500);
-/// How long a peer's word that its disk is empty holds.
+/// How long a peer's report of an empty disk counts when a group is formed.
 pub(crate) const EMPTY_PEER_MILLIS: SpanMillis = SpanMillis::new(3_000);
-/// How long a voter is silent before an open group removes it.
+/// Silence after which an open group removes a voter.
 pub(crate) const VOTER_REMOVAL_MILLIS: SpanMillis = SpanMillis::new(3_000);
-/// How long a voter of an open group hears no leader before it asks to join
-/// again, since it may have been removed.
+/// Time without a leader after which a voter of an open group requests to join
+/// again, because it may have been removed.
 pub(crate) const REJOIN_MILLIS: SpanMillis = SpanMillis::new(2_500);
-/// How long a follower waits for the leader to confirm a read.
+/// How long a follower's read may take from its read-index request until the
+/// confirmed index is applied.
 pub(crate) const READ_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(1_000);
 
-/// The largest change in bytes.
+/// Largest payload of one change.
 pub(crate) const MAX_ENTRY_BYTES: usize = 8 << 20;
-/// The most bytes of entries in one message, unless a single entry is larger.
+/// Most bytes of entries in one append message, unless a single entry is larger.
 pub(crate) const MAX_APPEND_BYTES: usize = 1 << 20;
-/// The most entries in one message.
+/// Most entries in one append message.
 pub(crate) const MAX_APPEND_ENTRIES: usize = 512;
-/// The most unanswered messages with entries for one member.
+/// Most unacknowledged append messages per member.
 pub(crate) const MAX_APPENDS_IN_FLIGHT: usize = 8;
-/// The most changes that wait for their commit.
+/// Most proposals that wait to be committed.
 pub(crate) const MAX_PENDING_PROPOSALS: usize = 1_024;
-/// The most bytes of changes that wait for their commit.
+/// Most bytes of proposals that wait to be committed.
 pub(crate) const MAX_PENDING_BYTES: usize = 32 << 20;
-/// The most reads that wait for their confirmation.
+/// Most reads that wait for confirmation, on the leader and on each follower.
 pub(crate) const MAX_PENDING_READS: usize = 4_096;
-/// The most replicas that may ask to join at a time.
+/// Most join requests that a leader queues.
 pub(crate) const MAX_JOIN_REQUESTS: usize = 16;
 
-/// The bytes of one chunk of a snapshot.
+/// Size of a snapshot chunk.
 pub(crate) const SNAPSHOT_CHUNK_BYTES: usize = 256 << 10;
-/// The largest snapshot in bytes.
+/// Largest snapshot that a follower accepts.
 pub(crate) const MAX_SNAPSHOT_BYTES: usize = 64 << 20;
-/// The applied entries after which the log is compacted.
+/// Entries applied since the last snapshot after which the log is compacted.
 pub(crate) const COMPACTION_ENTRIES: u64 = 4_096;
-/// The bytes of held entries after which the log is compacted.
+/// Bytes of log entries in memory after which the log is compacted.
 pub(crate) const COMPACTION_BYTES: usize = 16 << 20;
-/// The entries that stay after a compaction, for members that lag a little.
+/// Entries before the snapshot that a compaction retains, so that members that
+/// lag a little need no snapshot.
 pub(crate) const RETAINED_ENTRIES: u64 = 1_024;
-/// The most bytes of entries that stay after a compaction.
+/// Most bytes of entries that a compaction retains.
 pub(crate) const RETAINED_BYTES: usize = 8 << 20;
--- a/src/control/replica/log_entry.rs
+++ b/src/control/replica/log_entry.rs
@@ -5,17 +5,16 @@
 
 use super::{GroupMembers, LogIndex, TermNumber};
 
-/// Bytes that the log carries without looking into them; cheap to clone.
+/// Opaque bytes of a change or a snapshot; cheap to clone.
 #[derive(Clone, PartialEq, Eq)]
 pub(crate) struct EntryPayload(Arc<[u8]>);
 
 impl EntryPayload {
-    /// Wraps the bytes of a change or a snapshot.
+    /// Creates a payload from its bytes.
     pub(crate) fn new(bytes: Vec<u8>) -> Self {
         Self(bytes.into())
     }
 
-    /// Returns the bytes.
     pub(crate) fn bytes(&self) -> &[u8] {
         &self.0
     }
@@ -40,30 +39,29 @@
     }
 }
 
-/// What an entry of the log does when it is committed.
+/// What a log entry does.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum EntryBody {
-    /// Nothing; a new leader commits it to learn what is committed.
+    /// No-op that a new leader commits to learn the commit index.
     Empty,
-    /// Changes the replicated state.
+    /// Changes the state machine once it is committed.
     Change(EntryPayload),
-    /// Changes the group's members; it holds from its append on.
+    /// Changes the group's members; takes effect when it is appended.
     Members(GroupMembers),
 }
 
 /// One entry of the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LogEntry {
-    /// The entry's place.
+    /// Index in the log.
     pub(crate) index: LogIndex,
-    /// The term of the leader that appended it.
+    /// Term of the leader that appended it.
     pub(crate) term: TermNumber,
-    /// What it does.
     pub(crate) body: EntryBody,
 }
 
 impl LogEntry {
-    /// Returns roughly the bytes that the entry takes.
+    /// Returns the approximate size of the entry in bytes.
     pub(crate) fn size(&self) -> usize {
         const FRAME_BYTES: usize = 24;
         const MEMBER_BYTES: usize = 20;
--- a/src/control/replica/log_position.rs
+++ b/src/control/replica/log_position.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The place of an entry in the log; the first entry has 1.
+/// Index of a log entry; the first entry has index 1.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -10,35 +10,33 @@
 pub(crate) struct LogIndex(u64);
 
 impl LogIndex {
-    /// The place before the first entry.
+    /// The index before the first entry.
     pub(crate) const ZERO: Self = Self(0);
 
-    /// Wraps a plain number.
     pub(crate) const fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// Returns the plain number.
     pub(crate) const fn number(self) -> u64 {
         self.0
     }
 
-    /// Returns the place after this one.
+    /// Returns the index after this one.
     pub(crate) const fn next(self) -> Self {
         Self(self.0.saturating_add(1))
     }
 
-    /// Returns the place before this one, at least zero.
+    /// Returns the index before this one, at least zero.
     pub(crate) const fn previous(self) -> Self {
         Self(self.0.saturating_sub(1))
     }
 
-    /// Returns the place `count` entries earlier, at least zero.
+    /// Returns the index `count` entries earlier, at least zero.
     pub(crate) const fn back(self, count: u64) -> Self {
         Self(self.0.saturating_sub(count))
     }
 
-    /// Returns how many entries lie after `earlier` up to this place.
+    /// Returns the number of entries after `earlier`, up to and including this one.
     pub(crate) const fn distance(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
@@ -50,7 +48,7 @@
     }
 }
 
-/// The number of an election; at most one leader has it.
+/// Raft term; it has at most one leader.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -61,12 +59,10 @@
     /// The term before the first election.
     pub(crate) const ZERO: Self = Self(0);
 
-    /// Wraps a plain number.
     pub(crate) const fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// Returns the plain number.
     pub(crate) const fn number(self) -> u64 {
         self.0
     }
--- a/src/control/replica/membership.rs
+++ b/src/control/replica/membership.rs
@@ -1,7 +1,8 @@
-//! Membership: one change at a time, each an entry of the log.
+//! Membership changes, one at a time, each a log entry.
 //!
-//! A replica with a new data folder joins as a learner. Once it holds all that
-//! is committed, the folder that it replaces stops counting, then it counts.
+//! A replica with a new data folder joins as a learner. Once it has all committed
+//! entries, the data folder that it replaces is removed, then the learner becomes
+//! a voter.
 
 use super::{
     DiskId, EntryBody, GroupAdmission, GroupMembers, LogIndex, MemberId, ReplicaCore,
@@ -12,7 +13,7 @@
 };
 use crate::clock::ClockMillis;
 
-/// The next change of the members.
+/// A membership change.
 #[derive(Debug, Clone, Copy)]
 enum MemberChange {
     AddLearner(MemberId),
@@ -31,7 +32,7 @@
 }
 
 impl ReplicaCore {
-    /// Makes the next change of the members, if the last one is committed.
+    /// Appends the next membership change once the last one is committed.
     pub(super) fn advance_membership(&mut self, now: ClockMillis) {
         self.report_completed_repairs();
         let CoreRole::Leader(leader) = &self.role else {
@@ -55,7 +56,7 @@
             .or_else(|| self.next_removal(leader, now))
     }
 
-    /// Returns the removal of a voter that is gone from an open group.
+    /// Returns the removal of a silent voter of an open group.
     fn next_removal(&self, leader: &LeaderState, now: ClockMillis) -> Option<MemberChange> {
         let GroupAdmission::Open { least_voters, .. } = self.peers.admission else {
             return None;
@@ -78,7 +79,7 @@
             .find(|change| self.keeps_quorum(leader, *change, now))
     }
 
-    /// Returns the next step of a learner that holds everything.
+    /// Returns the next step towards promoting a learner that has caught up.
     fn next_learner_step(&self, leader: &LeaderState, now: ClockMillis) -> Option<MemberChange> {
         let members = self.log.members();
         members
@@ -89,14 +90,14 @@
             .filter(|member_id| self.holds_committed_log(leader, member_id.disk))
             .map(
                 |member_id| match members.other_voter(member_id.replica, member_id.disk) {
-                    Some(old) => MemberChange::RemoveVoter(old),
+                    Some(replaced) => MemberChange::RemoveVoter(replaced),
                     None => MemberChange::PromoteLearner(member_id),
                 },
             )
             .find(|change| self.keeps_quorum(leader, *change, now))
     }
 
-    /// Returns whether a learner holds durably all that is committed.
+    /// Returns whether a member has synced all committed entries.
     fn holds_committed_log(&self, leader: &LeaderState, disk: DiskId) -> bool {
         leader
             .progress
@@ -104,22 +105,23 @@
             .is_some_and(|progress| progress.match_index >= self.commit)
     }
 
-    /// Returns whether a majority still answers after a change; a voter that
-    /// answers is never removed in favour of another data folder.
+    /// Returns whether a majority would still be responsive after a change.
+    ///
+    /// A responsive voter is never removed, not even for a new data folder.
     fn keeps_quorum(&self, leader: &LeaderState, change: MemberChange, now: ClockMillis) -> bool {
         let own = self.hard_state.disk;
-        let heard = |disk: DiskId| {
+        let is_responsive = |disk: DiskId| {
             disk == own
                 || leader.progress.get(&disk).is_some_and(|progress| {
                     now.since(progress.last_contact_at) < ELECTION_MAX_MILLIS
                 })
         };
         if let MemberChange::RemoveVoter(member_id) = change
-            && heard(member_id.disk)
+            && is_responsive(member_id.disk)
         {
             return false;
         }
-        change.apply(self.log.members()).has_majority(heard)
+        change.apply(self.log.members()).has_majority(is_responsive)
     }
 
     fn change_members(&mut self, change: MemberChange, now: ClockMillis) {
@@ -144,25 +146,26 @@
         }
     }
 
-    /// Reports the repairs that outlast the loss of another replica.
+    /// Reports promoted learners that have synced their promotion, so that the group
+    /// tolerates the loss of another replica.
     fn report_completed_repairs(&mut self) {
         let commit = self.commit;
         let CoreRole::Leader(leader) = &mut self.role else {
             return;
         };
         let progress = &leader.progress;
-        let held = |disk: DiskId, index: LogIndex| {
+        let has_synced = |disk: DiskId, index: LogIndex| {
             progress
                 .get(&disk)
                 .is_some_and(|progress| progress.match_index >= index)
         };
-        let done: Vec<(MemberId, LogIndex)> = leader
+        let completed: Vec<(MemberId, LogIndex)> = leader
             .pending_promotions
             .extract_if(.., |(member_id, index)| {
-                *index <= commit && held(member_id.disk, *index)
+                *index <= commit && has_synced(member_id.disk, *index)
             })
             .collect();
-        for (member_id, _) in done {
+        for (member_id, _) in completed {
             self.report(ReplicaReport::RepairDone { member_id });
         }
     }
--- a/src/control/replica/message_dispatch.rs
+++ b/src/control/replica/message_dispatch.rs
@@ -1,4 +1,5 @@
-//! The way of a peer's message into the core: group, term, then its content.
+//! Dispatch of peer messages: checks receiver, group and term, then handles the
+//! body.
 
 use super::{
     MemberId, PeerBody, PeerMessage, ReplicaCore, ReplicaReport, candidate_state::CoreRole,
@@ -6,7 +7,7 @@
 use crate::clock::ClockMillis;
 
 impl ReplicaCore {
-    /// Takes in a message of a peer.
+    /// Handles a message from a peer.
     pub(super) fn receive(&mut self, message: PeerMessage, now: ClockMillis) {
         let misaddressed = message.to.is_some_and(|disk| disk != self.hard_state.disk);
         if misaddressed || message.from.replica == self.peers.own {
@@ -22,7 +23,7 @@
 
     fn check_group(&mut self, message: &PeerMessage) -> bool {
         match (self.hard_state.group, message.group) {
-            (Some(own), Some(theirs)) if own == theirs => true,
+            (Some(own_group), Some(sender_group)) if own_group == sender_group => true,
             (Some(_), Some(_)) => {
                 let replica = message.from.replica;
                 if self.foreign_peers.insert(replica) {
@@ -30,8 +31,8 @@
                 }
                 false
             }
-            (None, Some(theirs)) if message.to.is_some() => {
-                self.hard_state.group = Some(theirs);
+            (None, Some(sender_group)) if message.to.is_some() => {
+                self.hard_state.group = Some(sender_group);
                 self.disk.save_hard_state(self.hard_state);
                 true
             }
@@ -103,9 +104,9 @@
         }
     }
 
-    /// Brings the own term up to the message's; returns whether it is current.
+    /// Adopts a newer term; returns whether the message is to be handled.
     fn check_term(&mut self, message: &PeerMessage, now: ClockMillis) -> bool {
-        let own = self.hard_state.term;
+        let own_term = self.hard_state.term;
         match &message.body {
             PeerBody::VoteRequest {
                 pre_vote,
@@ -115,35 +116,35 @@
                 if self.has_recent_leader(now) && !leadership_transfer {
                     return false;
                 }
-                let passed = message.term < own || (*pre_vote && message.term == own);
-                if passed {
+                let is_stale = message.term < own_term || (*pre_vote && message.term == own_term);
+                if is_stale {
                     self.send(message.from, PeerBody::StaleTerm);
                     return false;
                 }
-                if !pre_vote && message.term > own {
+                if !pre_vote && message.term > own_term {
                     self.become_follower(message.term);
                 }
                 true
             }
-            // The term of a trial is no one's yet.
+            // A pre-vote response has the proposed term, which is not adopted.
             PeerBody::VoteResponse { pre_vote: true, .. } => true,
-            _ if message.term > own => {
+            _ if message.term > own_term => {
                 self.become_follower(message.term);
                 true
             }
             PeerBody::Heartbeat { .. }
             | PeerBody::AppendEntries { .. }
             | PeerBody::SnapshotChunk { .. }
-                if message.term < own =>
+                if message.term < own_term =>
             {
                 self.send(message.from, PeerBody::StaleTerm);
                 false
             }
-            _ => message.term == own,
+            _ => message.term == own_term,
         }
     }
 
-    /// Takes the sender as leader of the own term.
+    /// Accepts the sender as leader of the current term, unless this replica leads.
     fn accept_leader(&mut self, from: MemberId, now: ClockMillis) -> bool {
         if matches!(self.role, CoreRole::Leader(_)) {
             return false;
--- a/src/control/replica/mod.rs
+++ b/src/control/replica/mod.rs
@@ -1,5 +1,5 @@
-//! One replica of the control group's log: elections, replication, reads and
-//! membership, as a state machine without I/O.
+//! A replica of the control group's Raft log, as a state machine without I/O:
+//! elections, replication, reads, snapshots and membership changes.
 
 mod candidate_state;
 mod disk_queue;
--- a/src/control/replica/peer_message.rs
+++ b/src/control/replica/peer_message.rs
@@ -4,117 +4,118 @@
     DiskId, EntryPayload, GroupId, GroupMembers, LogEntry, LogIndex, MemberId, TermNumber,
 };
 
-/// A message between replicas.
+/// A message between replicas, encoded with postcard: the order of variants and
+/// fields is part of the protocol.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PeerMessage {
-    /// The sender's group, once it has one.
+    /// The sender's group, if any.
     pub(crate) group: Option<GroupId>,
     /// The sender.
     pub(crate) from: MemberId,
-    /// The data folder that is meant; any on that place if absent.
+    /// The addressed data folder; any of the receiving replica if absent.
     pub(crate) to: Option<DiskId>,
-    /// The term that the message speaks for.
+    /// The term of the message: the sender's or, in a pre-vote, the proposed one.
     pub(crate) term: TermNumber,
-    /// The content.
     pub(crate) body: PeerBody,
 }
 
-/// The content of a message between replicas.
+/// The content of a peer message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum PeerBody {
-    /// A replica that is in no group asks for admission.
+    /// Asks for admission to the group.
     JoinRequest,
-    /// The asked replica is in no group either.
+    /// Answers a join request: the sender's disk is empty, too.
     EmptyDiskResponse,
-    /// Asks for a vote in the message's term.
+    /// Raft's `RequestVote`.
     VoteRequest {
-        /// Whether the term is only tried: nothing is promised yet.
+        /// Whether this is a pre-vote, which changes no term and binds no vote.
         pre_vote: bool,
-        /// Whether the leader itself asked for the election.
+        /// Whether the leader started the election to transfer its leadership.
         leadership_transfer: bool,
-        /// The candidate's last entry.
+        /// Index of the candidate's last entry.
         last_index: LogIndex,
-        /// That entry's term.
+        /// Term of that entry.
         last_term: TermNumber,
     },
-    /// Answers a request for a vote.
+    /// Answers a vote request.
     VoteResponse {
-        /// Whether the request was a trial.
+        /// Whether the request was a pre-vote.
         pre_vote: bool,
-        /// Whether the vote was given.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// The leader is alive; confirms reads.
+    /// Keeps followers from starting an election, and confirms reads.
     Heartbeat {
-        /// What the receiver holds and is committed.
+        /// The commit index, at most the receiver's match index.
         commit: LogIndex,
-        /// The round that the answer names.
+        /// The heartbeat round, echoed in the response.
         round: u64,
     },
     /// Answers a heartbeat.
     HeartbeatResponse {
-        /// The heartbeat's round.
+        /// The round of the heartbeat.
         round: u64,
     },
-    /// Entries that follow a known one.
+    /// Raft's `AppendEntries`.
     AppendEntries {
-        /// The entry before the first one.
+        /// Index of the entry before `entries`.
         previous_index: LogIndex,
-        /// That entry's term.
+        /// Term of that entry.
         previous_term: TermNumber,
-        /// What is committed.
+        /// The leader's commit index.
         commit: LogIndex,
-        /// The entries.
+        /// May be empty while the leader probes for the end of the common log.
         entries: Vec<LogEntry>,
     },
-    /// The log up to `match_index` equals the leader's, durably.
+    /// The log up to `match_index` equals the leader's and is synced.
     AppendAccepted {
-        /// The last entry that is held.
+        /// The last entry that equals the leader's.
         match_index: LogIndex,
     },
-    /// The entry before the first one is not held.
+    /// The receiver lacks the entry before the appended ones.
     AppendRejected {
-        /// The entry that was not found.
+        /// Index of the missing entry.
         previous_index: LogIndex,
-        /// The last entry that may be held.
+        /// The last entry that may equal the leader's.
         hint: LogIndex,
     },
-    /// A part of a snapshot.
+    /// Raft's `InstallSnapshot`: one chunk of a snapshot.
     SnapshotChunk {
-        /// The last entry that the snapshot includes.
+        /// Index of the last included entry.
         index: LogIndex,
-        /// That entry's term.
+        /// Term of that entry.
         entry_term: TermNumber,
-        /// The members after that entry.
+        /// The members as of that entry.
         members: GroupMembers,
-        /// The bytes of the whole state.
+        /// Size of the whole snapshot in bytes.
         total: u64,
-        /// The place of this part.
+        /// Offset of the chunk in bytes.
         offset: u64,
-        /// The part.
+        /// The chunk.
         bytes: EntryPayload,
     },
-    /// The bytes of a snapshot that have come in.
+    /// Acknowledges the chunks received so far.
     SnapshotChunkResponse {
-        /// The snapshot.
+        /// Index of the snapshot's last included entry.
         index: LogIndex,
-        /// The place of the next part.
+        /// Offset of the next chunk in bytes.
         received: u64,
     },
-    /// A follower wants to read.
+    /// A follower asks for a read index.
     ReadIndexRequest {
-        /// Names the read in its answer.
+        /// Echoed in the response.
         sequence: u64,
     },
-    /// The leader confirms a read, or can't.
+    /// The leader's read index, if it could confirm its leadership.
     ReadIndexResponse {
-        /// The read.
+        /// The sequence number of the request.
         sequence: u64,
-        /// What must be applied before the read.
+        /// The index that must be applied before the read.
         index: Option<LogIndex>,
     },
-    /// The leader is to be stopped; the receiver is to lead at once.
+    /// Raft's `TimeoutNow`: the leader transfers its leadership, so the receiver
+    /// starts an election at once.
     TimeoutNow,
-    /// The receiver spoke for an old term.
+    /// The message that this answers had an outdated term.
     StaleTerm,
 }
--- a/src/control/replica/peer_progress.rs
+++ b/src/control/replica/peer_progress.rs
@@ -1,43 +1,42 @@
 use super::{GroupSnapshot, LogIndex};
 use crate::clock::ClockMillis;
 
-/// How a leader brings a member up to date.
+/// How a leader replicates to a member.
 #[derive(Debug, Clone)]
 pub(crate) enum ProgressPhase {
-    /// The end of the common log is looked for, one message at a time.
+    /// Looks for the end of the common log, one message at a time.
     Probing,
-    /// Entries are sent ahead of their acknowledgement.
+    /// Sends entries before earlier ones are acknowledged.
     Pipelining,
-    /// A snapshot is sent, one chunk at a time.
+    /// Sends a snapshot, one chunk at a time.
     SendingSnapshot {
-        /// The snapshot, held until it is sent.
+        /// The snapshot, kept until it is sent.
         snapshot: GroupSnapshot,
-        /// The place of the next chunk.
+        /// Offset of the next chunk in bytes.
         offset: usize,
     },
 }
 
-/// What a leader knows of one member.
+/// A leader's replication state for one member.
 #[derive(Debug, Clone)]
 pub(crate) struct PeerProgress {
-    /// The last entry that the member holds durably.
+    /// The last entry that is known to be synced on the member.
     pub(crate) match_index: LogIndex,
-    /// The next entry to send.
     pub(crate) next_index: LogIndex,
-    /// How entries are sent.
     pub(crate) phase: ProgressPhase,
-    /// The messages that are not answered yet.
+    /// Unacknowledged append messages or snapshot chunks.
     pub(crate) messages_in_flight: usize,
-    /// When something was last sent or acknowledged.
+    /// When a message was last acknowledged, or sent with none in flight; the resend
+    /// timeout starts here.
     pub(crate) last_activity_at: ClockMillis,
-    /// When the member was last heard.
+    /// When the last message came from the member.
     pub(crate) last_contact_at: ClockMillis,
-    /// The newest heartbeat round that the member has answered.
+    /// The latest heartbeat round that the member has answered.
     pub(crate) acked_round: u64,
 }
 
 impl PeerProgress {
-    /// Creates the progress of a member whose log is not known yet.
+    /// Creates the progress of a member whose log is unknown.
     pub(crate) fn new(last_index: LogIndex, now: ClockMillis) -> Self {
         Self {
             match_index: LogIndex::ZERO,
@@ -50,13 +49,13 @@
         }
     }
 
-    /// Returns whether something has been sent that is not acknowledged.
+    /// Returns whether sent entries or chunks are unacknowledged.
     pub(crate) fn has_unacknowledged(&self) -> bool {
         let streaming = matches!(self.phase, ProgressPhase::Pipelining);
         self.messages_in_flight > 0 || (streaming && self.match_index.next() < self.next_index)
     }
 
-    /// Notes that the member holds the log up to `match_index`.
+    /// Records that the member's log is synced and equal up to `match_index`.
     pub(crate) fn acknowledge(&mut self, match_index: LogIndex, now: ClockMillis) {
         self.last_activity_at = now;
         self.match_index = self.match_index.max(match_index);
@@ -75,7 +74,8 @@
         }
     }
 
-    /// Notes that the member does not hold `previous`, at most `hint`.
+    /// Records that the member lacks `previous` and its log may equal the
+    /// leader's up to `hint`.
     pub(crate) fn reject(&mut self, previous: LogIndex, hint: LogIndex, now: ClockMillis) {
         let stale = previous <= self.match_index || previous >= self.next_index;
         if stale || matches!(self.phase, ProgressPhase::SendingSnapshot { .. }) {
@@ -85,7 +85,7 @@
         self.probe(now);
     }
 
-    /// Starts over after the last entry that the member is known to hold.
+    /// Starts over after the last entry that is known to be on the member.
     pub(crate) fn restart(&mut self, now: ClockMillis) {
         if !matches!(self.phase, ProgressPhase::SendingSnapshot { .. }) {
             self.next_index = self.match_index.next();
@@ -95,7 +95,7 @@
         self.last_activity_at = now;
     }
 
-    /// Starts to send a snapshot from its beginning.
+    /// Starts to send a snapshot.
     pub(crate) fn send_snapshot(&mut self, snapshot: GroupSnapshot, now: ClockMillis) {
         self.phase = ProgressPhase::SendingSnapshot {
             snapshot,
--- a/src/control/replica/proposals.rs
+++ b/src/control/replica/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals: bounded intake, and an answer for each.
+//! Proposals: bounded admission, and one answer for each.
 
 use super::{
     EntryBody, EntryPayload, PeerBody, ProposalKey, ProposalOutcome, ReadOutcome, ReplicaAction,
@@ -9,7 +9,7 @@
 };
 
 impl ReplicaCore {
-    /// Takes a client's change, or refuses it at once.
+    /// Appends a client's change, or refuses it at once.
     pub(super) fn propose(&mut self, key: ProposalKey, payload: EntryPayload) {
         let bytes = payload.bytes().len();
         if let Some(outcome) = self.refusal(bytes) {
@@ -42,7 +42,7 @@
         full.then_some(ProposalOutcome::Overloaded)
     }
 
-    /// Answers the proposals that are committed now.
+    /// Answers the proposals that have been committed.
     pub(super) fn answer_committed(&mut self) {
         let commit = self.commit;
         let CoreRole::Leader(leader) = &mut self.role else {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Answers everyone who waits for a leader that leads no more.
+    /// Answers all pending proposals and reads of a leader that has stepped down.
     pub(super) fn fail_pending(&mut self, leader: LeaderState) {
         for proposal in leader.proposals {
             self.answer_proposal(proposal.key, ProposalOutcome::OutcomeUnknown);
--- a/src/control/replica/reads.rs
+++ b/src/control/replica/reads.rs
@@ -1,5 +1,6 @@
-//! Reads: a majority answers a heartbeat that was sent after the read was
-//! asked for, so no newer leader had accepted anything by then.
+//! Read index: a read is confirmed when a majority answers a heartbeat that was
+//! sent after the read was requested, so that no newer leader had committed
+//! anything by then.
 
 use super::{
     DiskId, LogIndex, MemberId, PeerBody, ReadKey, ReadOutcome, ReplicaAction, ReplicaCore,
@@ -10,7 +11,7 @@
 use crate::clock::ClockMillis;
 
 impl ReplicaCore {
-    /// Takes a client's read.
+    /// Handles a client's read.
     pub(super) fn handle_read(&mut self, key: ReadKey, now: ClockMillis) {
         match (&self.role, self.leader) {
             (CoreRole::Leader(_), _) => self.queue_read(ReadSource::Local(key), now),
@@ -19,7 +20,7 @@
         }
     }
 
-    /// Takes a read of a follower.
+    /// Handles a follower's request for a read index.
     pub(super) fn handle_read_index_request(
         &mut self,
         member_id: MemberId,
@@ -47,22 +48,22 @@
             return;
         }
         if index < leader.first_index {
-            // What earlier leaders committed is not known yet.
+            // The commit index of earlier leaders is not known yet.
             self.refuse_read(source, ReadOutcome::Refused);
             return;
         }
-        let idle = leader.reads.is_empty();
+        let was_idle = leader.reads.is_empty();
         leader.reads.push_back(PendingRead {
             round: leader.heartbeat_round + 1,
             index,
             source,
         });
-        if idle {
+        if was_idle {
             self.send_heartbeats(now);
         }
     }
 
-    /// Notes that a member has answered a heartbeat.
+    /// Records that a member has answered a heartbeat.
     pub(super) fn handle_heartbeat_response(&mut self, disk: DiskId, round: u64, now: ClockMillis) {
         if let Some(progress) = self.progress_after_contact(disk, now) {
             progress.acked_round = progress.acked_round.max(round);
@@ -72,9 +73,9 @@
         }
     }
 
-    /// Answers the reads whose round a majority has answered.
+    /// Answers the reads whose heartbeat round a majority has answered.
     ///
-    /// Returns whether reads wait for a round that is not sent yet.
+    /// Returns whether reads wait for a round that has not been sent.
     pub(super) fn confirm_reads(&mut self) -> bool {
         let own = self.hard_state.disk;
         let CoreRole::Leader(leader) = &mut self.role else {
@@ -96,14 +97,14 @@
             leader.reads.pop_front();
             answered.push(read);
         }
-        let waits = leader
+        let has_unsent_round = leader
             .reads
             .front()
             .is_some_and(|read| read.round > leader.heartbeat_round);
         for read in answered {
             self.confirm_read(read.source, read.index);
         }
-        waits
+        has_unsent_round
     }
 
     fn confirm_read(&mut self, source: ReadSource, index: LogIndex) {
--- a/src/control/replica/replica_action.rs
+++ b/src/control/replica/replica_action.rs
@@ -3,136 +3,117 @@
     ReplicaId, TermNumber,
 };
 
-/// What became of a proposal.
+/// The answer to a proposal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ProposalOutcome {
-    /// A majority holds it durably and it is applied here.
+    /// It is synced on a majority and applied here.
     Committed {
-        /// Its place in the log.
+        /// Its index in the log.
         index: LogIndex,
     },
-    /// It may be committed later or never.
+    /// The leader stepped down first; the proposal may still be committed.
     OutcomeUnknown,
-    /// It was not taken: another replica leads.
-    NotLeader {
-        /// The replica that leads.
-        leader: ReplicaId,
-    },
-    /// It was not taken: no leader is known, or a majority does not answer.
+    /// Rejected: another replica leads.
+    NotLeader { leader: ReplicaId },
+    /// Rejected: this replica knows no leader.
     NoQuorum,
-    /// It was not taken: too much waits for its commit.
+    /// Rejected: too many proposals, or bytes of them, wait to be committed.
     Overloaded,
-    /// It was not taken: it is too large.
+    /// Rejected: the payload is larger than `MAX_ENTRY_BYTES`.
     TooLarge,
 }
 
-/// What became of a read.
+/// The answer to a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReadOutcome {
-    /// Everything that was accepted before the read was asked for is applied.
+    /// Everything acknowledged before the read was requested is applied.
     Confirmed {
-        /// The last applied entry that the read includes.
+        /// An applied index that the read observes.
         index: LogIndex,
     },
-    /// The replica can't confirm that it is current.
+    /// The replica could not confirm that its state is current.
     Refused,
-    /// Too many reads wait for their confirmation.
+    /// Too many reads wait for confirmation.
     Overloaded,
 }
 
-/// A change of the replica's state that operators want to know of.
+/// A state change of the replica that is logged for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReplicaReport {
-    /// This replica has founded the group.
+    /// This replica has formed the group.
     GroupFormed {
         /// The group.
         group: GroupId,
     },
-    /// This replica leads.
-    LeaderElected {
-        /// Its term.
-        term: TermNumber,
-    },
-    /// This replica no longer leads since another one has a newer term.
+    /// This replica has become leader.
+    LeaderElected { term: TermNumber },
+    /// This replica has stepped down because of a newer term.
     LeaderDeposed {
-        /// The term that it led.
+        /// The term in which it led.
         term: TermNumber,
     },
-    /// This replica no longer leads since a majority does not answer.
+    /// This replica has stepped down because a majority does not answer.
     QuorumLost {
-        /// The term that it led.
+        /// The term in which it led.
         term: TermNumber,
     },
-    /// A new data folder receives the log and does not count yet.
-    LearnerAdded {
-        /// The replica and its data folder.
-        member_id: MemberId,
-    },
-    /// A lost data folder no longer counts.
-    VoterRemoved {
-        /// The replica and its data folder.
-        member_id: MemberId,
-    },
-    /// A repair is done: the new data folder holds everything and counts.
-    RepairDone {
-        /// The replica and its data folder.
-        member_id: MemberId,
-    },
-    /// A leader wants to replace a committed entry; it is not followed.
+    /// A new data folder has joined as a learner.
+    LearnerAdded { member_id: MemberId },
+    /// A lost data folder has been removed from the voters.
+    VoterRemoved { member_id: MemberId },
+    /// A learner has become a voter and holds the entry that promoted it, so
+    /// the group tolerates the loss of another replica.
+    RepairDone { member_id: MemberId },
+    /// A leader tried to replace a committed entry; its entries were rejected.
     CommittedConflict {
         /// The entry.
         index: LogIndex,
     },
-    /// A peer belongs to another group; its messages are dropped.
+    /// A peer belongs to another group, so its messages are dropped.
     ForeignGroup {
         /// The peer.
         replica: ReplicaId,
     },
 }
 
-/// What the shell has to do, in this order.
+/// An output of the replica's state machine, to be executed by the shell.
 #[derive(Debug, Clone)]
 pub(crate) enum ReplicaAction {
     /// Send a message to a peer; it may be lost.
     Send {
-        /// The place of the peer in the group.
+        /// The peer.
         to: ReplicaId,
         /// The message.
         message: PeerMessage,
     },
-    /// Write a batch, sync it and report it; one batch at a time.
+    /// Write and sync a batch, then report it as synced. The next batch comes
+    /// only after that.
     Persist(DiskBatch),
     /// Apply a committed change to the state machine.
     Apply {
-        /// The change's place in the log.
+        /// The index of the change in the log.
         index: LogIndex,
         /// The change.
         payload: EntryPayload,
     },
-    /// Replace the state machine's state.
+    /// Replace the state of the state machine.
     Restore {
         /// The state.
         payload: EntryPayload,
     },
-    /// Have the state machine write its state, now, and hand it back.
+    /// Have the state machine encode its state, before any later action, and
+    /// return it as `ReplicaEvent::SnapshotTaken`.
     TakeSnapshot {
-        /// The last applied entry.
+        /// Index of the last applied entry.
         index: LogIndex,
     },
     /// Answer a proposal.
     AnswerProposal {
-        /// The proposal.
         key: ProposalKey,
-        /// What became of it.
         outcome: ProposalOutcome,
     },
     /// Answer a read.
-    AnswerRead {
-        /// The read.
-        key: ReadKey,
-        /// What became of it.
-        outcome: ReadOutcome,
-    },
-    /// Log a change of the replica's state.
+    AnswerRead { key: ReadKey, outcome: ReadOutcome },
+    /// Log a state change of the replica.
     Report(ReplicaReport),
 }
--- a/src/control/replica/replica_core.rs
+++ b/src/control/replica/replica_core.rs
@@ -18,33 +18,30 @@
 };
 use crate::clock::{ClockMillis, SpanMillis};
 
-/// The places of the group that a replica knows of before it reads its log.
+/// The replicas that are known before the log is read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ReplicaPeers {
-    /// This replica.
     pub(crate) own: ReplicaId,
-    /// The other replicas.
     pub(crate) others: Vec<ReplicaId>,
-    /// Who may join the group, and who may form it.
     pub(crate) admission: GroupAdmission,
 }
 
-/// Who may join a group, and who may form it.
+/// Which replicas may form and join a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum GroupAdmission {
-    /// Only the listed places; they form the group together.
+    /// The listed replicas form the group together; no others may join.
     Listed,
-    /// Any place; members that are gone are removed without an operator.
+    /// Any replica may join, and silent voters are removed automatically.
     Open {
-        /// Whether this replica may form the group with the listed ones.
+        /// Whether this replica may form the group with the listed peers.
         founds: bool,
-        /// The number of voters that automatic removal never goes below.
+        /// Automatic removal leaves at least this many voters.
         least_voters: usize,
     },
 }
 
 impl GroupAdmission {
-    /// Returns whether this replica may take part in forming the group.
+    /// Returns whether this replica may take part in forming a group.
     pub(super) fn may_form_group(self) -> bool {
         match self {
             Self::Listed => true,
@@ -52,13 +49,13 @@
         }
     }
 
-    /// Returns whether places that are not listed may join.
+    /// Returns whether replicas that are not listed may join.
     pub(super) fn is_open(self) -> bool {
         matches!(self, Self::Open { .. })
     }
 }
 
-/// One replica of the control group; it never touches disk, network or clock.
+/// One replica of the control group, without access to disk, network or clock.
 #[derive(Debug)]
 pub(crate) struct ReplicaCore {
     pub(super) peers: ReplicaPeers,
@@ -71,14 +68,14 @@
     pub(super) election_due_at: ClockMillis,
     pub(super) commit: LogIndex,
     pub(super) applied: LogIndex,
-    /// The commit that the data folder remembers.
+    /// The commit index that is saved in the data folder.
     pub(super) saved_commit: LogIndex,
     pub(super) compaction: LogCompaction,
     pub(super) snapshot_requested: bool,
     pub(super) incoming_snapshot: Option<IncomingSnapshot>,
     pub(super) follower_reads: FollowerReads,
     pub(super) next_join_at: ClockMillis,
-    /// Peers that said that their disk is empty, too.
+    /// Peers that reported an empty disk, and when they did.
     pub(super) empty_peers: BTreeMap<ReplicaId, (DiskId, ClockMillis)>,
     pub(super) foreign_peers: BTreeSet<ReplicaId>,
     pub(super) rng: StdRng,
@@ -86,8 +83,8 @@
 }
 
 impl ReplicaCore {
-    /// Creates a replica from what its data folder holds; `seed` spreads the
-    /// elections.
+    /// Creates a replica from the content of its data folder; `seed` randomizes
+    /// its election timeouts.
     pub(crate) fn new(
         peers: ReplicaPeers,
         recovered: RecoveredState,
@@ -95,7 +92,7 @@
         now: ClockMillis,
     ) -> Self {
         let mut hard_state = recovered.hard_state;
-        let known_commit = recovered.commit;
+        let recovered_commit = recovered.commit;
         let log = ReplicaLog::new(recovered);
         if log.last_term() > hard_state.term {
             hard_state.term = log.last_term();
@@ -125,8 +122,9 @@
             actions: Vec::new(),
         };
         core.restore_snapshot();
-        // What was committed stays so: it may be shown before a leader is heard.
-        core.commit_to(known_commit);
+        // Committed entries stay committed, so they may be applied before a
+        // leader is known.
+        core.commit_to(recovered_commit);
         core.saved_commit = core.commit;
         if !core.is_alone() {
             core.set_election_timer(FIRST_ELECTION_MIN_MILLIS, FIRST_ELECTION_MAX_MILLIS, now);
@@ -134,14 +132,13 @@
         core
     }
 
-    /// Sets when the log is compacted.
     #[cfg(test)]
     pub(crate) fn with_compaction(mut self, compaction: LogCompaction) -> Self {
         self.compaction = compaction;
         self
     }
 
-    /// Reacts to an event; the actions are to be done in their order.
+    /// Handles an event; the caller executes the returned actions in order.
     pub(crate) fn handle(&mut self, event: ReplicaEvent, now: ClockMillis) -> Vec<ReplicaAction> {
         match event {
             ReplicaEvent::Tick => self.tick(now),
@@ -164,8 +161,9 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Has an open group's data folder remember the commit, as far as it holds
-    /// it, so that all that start again together know routes at once.
+    /// Saves the commit index of an open group, up to the synced entries.
+    ///
+    /// Replicas that all restart together then have routes before an election.
     fn save_commit_index(&mut self) {
         let commit = self.commit.min(self.disk.durable_index());
         if self.peers.admission.is_open() && commit > self.saved_commit {
@@ -195,7 +193,7 @@
         }
     }
 
-    /// Returns this replica and its data folder.
+    /// Returns the identity of this replica and its data folder.
     pub(super) fn member_id(&self) -> MemberId {
         MemberId {
             replica: self.peers.own,
@@ -209,13 +207,14 @@
         self.log.members().has_majority(|disk| disk == own)
     }
 
-    /// Puts the next election off by a random time.
+    /// Restarts the election timer with a random timeout.
     pub(super) fn reset_election_timer(&mut self, now: ClockMillis) {
         self.set_election_timer(ELECTION_MIN_MILLIS, ELECTION_MAX_MILLIS, now);
     }
 
-    /// Has a candidate that is not elected try again after a random time; it is
-    /// short, since nobody who could vote hears a leader.
+    /// Schedules the next attempt of a candidate that is not elected.
+    ///
+    /// The random pause can be short: replicas that hear a leader grant no votes.
     pub(super) fn schedule_election_retry(&mut self, now: ClockMillis) {
         self.set_election_timer(ELECTION_RETRY_MIN_MILLIS, ELECTION_RETRY_MAX_MILLIS, now);
     }
@@ -226,7 +225,7 @@
         self.election_due_at = now.after(wait);
     }
 
-    /// Becomes a follower of `term`, which is the own one or a newer one.
+    /// Becomes a follower in `term`, which is the current term or a newer one.
     pub(super) fn become_follower(&mut self, term: TermNumber) {
         let led_term = self.step_down();
         if let Some(led_term) = led_term {
@@ -259,7 +258,7 @@
         }
     }
 
-    /// Sends a message that promises nothing about the disk.
+    /// Sends a message at once; it must not depend on unsynced state.
     pub(super) fn send(&mut self, to: MemberId, body: PeerBody) {
         let message = self.build_message(Some(to.disk), self.hard_state.term, body);
         self.actions.push(ReplicaAction::Send {
@@ -268,12 +267,12 @@
         });
     }
 
-    /// Sends a message once everything before it is synced.
+    /// Sends a message once all earlier writes are synced.
     pub(super) fn send_after_sync(&mut self, to: MemberId, body: PeerBody) {
         self.send_after_sync_in(self.hard_state.term, to, body);
     }
 
-    /// Sends a message that speaks for `term` once everything before it is synced.
+    /// Sends a message with `term` once all earlier writes are synced.
     pub(super) fn send_after_sync_in(&mut self, term: TermNumber, to: MemberId, body: PeerBody) {
         let deferred = DeferredMessage {
             to: to.replica,
--- a/src/control/replica/replica_event.rs
+++ b/src/control/replica/replica_event.rs
@@ -1,44 +1,44 @@
 use super::{EntryPayload, LogIndex, PeerMessage, ReplicaId, SyncToken};
 
-/// Names a proposal until it is answered; chosen by the shell.
+/// Correlates a proposal with its answer; chosen by the shell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ProposalKey(pub(crate) u64);
 
-/// Names a read until it is answered; chosen by the shell.
+/// Correlates a read with its answer; chosen by the shell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ReadKey(pub(crate) u64);
 
-/// What a replica reacts to.
+/// An input of the replica's state machine.
 #[derive(Debug, Clone)]
 pub(crate) enum ReplicaEvent {
-    /// Time has passed.
+    /// Time has passed; due every `TICK_MILLIS`.
     Tick,
-    /// A peer has sent a message; the shell has authenticated it.
+    /// A message from a peer, authenticated by the shell.
     MessageReceived(PeerMessage),
-    /// Discovery has found the members of the group.
+    /// Discovery has found these members of the group.
     PeersDiscovered(Vec<ReplicaId>),
-    /// A client wants a change.
+    /// A client proposes a change.
     Proposed {
-        /// Names the proposal in its answer.
+        /// Correlates the answer.
         key: ProposalKey,
         /// The change.
         payload: EntryPayload,
     },
-    /// A client wants to read what is committed now.
+    /// A client requests a linearizable read.
     ReadRequested {
-        /// Names the read in its answer.
+        /// Correlates the answer.
         key: ReadKey,
     },
-    /// This replica is to be stopped; another one is to lead.
+    /// This replica is about to stop; a leader transfers its leadership.
     LeadershipTransferRequested,
-    /// A batch is on the disk and will survive a loss of power.
+    /// A batch is synced: it survives a loss of power.
     Synced {
         /// The batch.
         token: SyncToken,
     },
-    /// The state machine has written its state after `index`.
+    /// The state machine has encoded its state as of `index`.
     SnapshotTaken {
-        /// The last entry that the state includes.
+        /// Index of the last included entry.
         index: LogIndex,
         /// The state.
         payload: EntryPayload,
--- a/src/control/replica/replica_log.rs
+++ b/src/control/replica/replica_log.rs
@@ -5,17 +5,17 @@
     limits::{COMPACTION_ENTRIES, RETAINED_BYTES, RETAINED_ENTRIES},
 };
 
-/// When the log is compacted, and what stays for members that lag a little.
+/// When the log is compacted, and how many entries a compaction retains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct LogCompaction {
-    /// The applied entries after which a snapshot is taken.
+    /// Entries applied between two snapshots.
     pub(crate) interval_entries: u64,
-    /// The entries before the snapshot that stay.
+    /// Entries before the snapshot that are retained for members that lag a little.
     pub(crate) retained_entries: u64,
 }
 
 impl LogCompaction {
-    /// Creates the ordinary compaction.
+    /// Creates the default compaction.
     pub(crate) const fn new() -> Self {
         Self {
             interval_entries: COMPACTION_ENTRIES,
@@ -24,21 +24,21 @@
     }
 }
 
-/// The log as held in memory: the newest snapshot and the entries near its end.
+/// The log in memory: the latest snapshot and the entries from around its end.
 #[derive(Debug, Clone)]
 pub(crate) struct ReplicaLog {
-    /// The place before the first held entry.
+    /// The index before the first entry in memory.
     base_index: LogIndex,
     base_term: TermNumber,
     entries: VecDeque<LogEntry>,
     bytes: usize,
     snapshot: Option<GroupSnapshot>,
-    /// Each set of members that a held entry or the snapshot brought.
+    /// The memberships set by the snapshot and by entries in memory, by index.
     member_history: Vec<(LogIndex, GroupMembers)>,
 }
 
 impl ReplicaLog {
-    /// Rebuilds the log from what the data folder holds.
+    /// Creates the log from the content of the data folder.
     pub(crate) fn new(recovered: RecoveredState) -> Self {
         let connects = recovered.entries_connect();
         let mut log = Self {
@@ -57,7 +57,7 @@
                 entries.clear();
             }
             if entries.first().is_some_and(|first| first.index <= index) {
-                // The first entry stands for what came before the second one.
+                // The first entry only provides the index and term before the second.
                 let first = entries.remove(0);
                 log.base_index = first.index;
                 log.base_term = first.term;
@@ -69,21 +69,21 @@
         log
     }
 
-    /// Returns the last entry's place.
+    /// Returns the index of the last entry.
     pub(crate) fn last_index(&self) -> LogIndex {
         self.entries
             .back()
             .map_or(self.base_index, |entry| entry.index)
     }
 
-    /// Returns the last entry's term.
+    /// Returns the term of the last entry.
     pub(crate) fn last_term(&self) -> TermNumber {
         self.entries
             .back()
             .map_or(self.base_term, |entry| entry.term)
     }
 
-    /// Returns the term of the entry at `index`, if it is known.
+    /// Returns the term of the entry at `index`, if known.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<TermNumber> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -96,7 +96,7 @@
         self.entry_at(index).map(|entry| entry.term)
     }
 
-    /// Returns the entry at `index`, if it is held.
+    /// Returns the entry at `index`, if it is in memory.
     pub(crate) fn entry_at(&self, index: LogIndex) -> Option<&LogEntry> {
         if index <= self.base_index {
             return None;
@@ -105,7 +105,8 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Returns the entries from `first` on, within the limits but at least one.
+    /// Returns the entries from `first` on within the limits, at least one if there
+    /// are any.
     pub(crate) fn entries_from(
         &self,
         first: LogIndex,
@@ -126,11 +127,11 @@
         entries
     }
 
-    /// Appends the entry that follows the last one.
+    /// Appends an entry; its index must follow the last one.
     pub(crate) fn append(&mut self, entry: LogEntry) {
         debug_assert_eq!(entry.index, self.last_index().next());
         if let EntryBody::Members(members) = &entry.body {
-            // Entries that the snapshot includes bring no newer members.
+            // The snapshot already contains the members of entries that it includes.
             if entry.index > self.members_index() {
                 self.member_history.push((entry.index, members.clone()));
             }
@@ -139,7 +140,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries from `first` on.
+    /// Removes the entries from `first` on.
     pub(crate) fn truncate(&mut self, first: LogIndex) {
         while self.last_index() >= first {
             let Some(entry) = self.entries.pop_back() else {
@@ -152,17 +153,17 @@
         }
     }
 
-    /// Returns the group's members at the end of the log.
+    /// Returns the latest members in the log, committed or not.
     pub(crate) fn members(&self) -> &GroupMembers {
         &self.member_history[self.member_history.len() - 1].1
     }
 
-    /// Returns the entry that brought these members.
+    /// Returns the index of the entry that set the latest members.
     pub(crate) fn members_index(&self) -> LogIndex {
         self.member_history[self.member_history.len() - 1].0
     }
 
-    /// Returns the group's members after the entry at `index`.
+    /// Returns the group's members as of the entry at `index`.
     pub(crate) fn members_at(&self, index: LogIndex) -> &GroupMembers {
         let found = self
             .member_history
@@ -172,29 +173,29 @@
         &found.unwrap_or(&self.member_history[0]).1
     }
 
-    /// Returns the newest snapshot.
+    /// Returns the latest snapshot.
     pub(crate) fn snapshot(&self) -> Option<&GroupSnapshot> {
         self.snapshot.as_ref()
     }
 
-    /// Returns the last entry that the newest snapshot includes.
+    /// Returns the last index included in the latest snapshot, zero without one.
     pub(crate) fn snapshot_index(&self) -> LogIndex {
         self.snapshot
             .as_ref()
             .map_or(LogIndex::ZERO, |snapshot| snapshot.index)
     }
 
-    /// Returns the place before the first held entry.
+    /// Returns the index before the first entry in memory.
     pub(crate) fn base_index(&self) -> LogIndex {
         self.base_index
     }
 
-    /// Returns the bytes of the held entries.
+    /// Returns the approximate size of the entries in memory.
     pub(crate) fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Replaces the whole log by a snapshot.
+    /// Replaces the whole log with a snapshot.
     pub(crate) fn reset(&mut self, snapshot: GroupSnapshot) {
         self.entries.clear();
         self.bytes = 0;
@@ -204,7 +205,7 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Takes over a snapshot of what this log holds and drops old entries.
+    /// Stores a snapshot of this log and removes old entries.
     pub(crate) fn compact(&mut self, snapshot: GroupSnapshot, retained_entries: u64) {
         let first_retained = snapshot.index.back(retained_entries);
         let snapshot_index = snapshot.index;
--- a/src/control/replica/replica_view.rs
+++ b/src/control/replica/replica_view.rs
@@ -6,53 +6,51 @@
     control::api::ReplicaRole,
 };
 
-/// What one member looks like from this replica.
+/// A member as seen by this replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct MemberView {
-    /// The member and its data folder.
     pub(crate) seat: MemberId,
-    /// Whether it counts.
     pub(crate) voting_status: VotingStatus,
-    /// The last entry that it is known to hold durably.
-    pub(crate) held: LogIndex,
-    /// The time since it was heard; only a leader knows it.
-    pub(crate) silent: Option<SpanMillis>,
+    /// The last entry known to be synced on it; zero on a replica that does not lead,
+    /// except for itself.
+    pub(crate) match_index: LogIndex,
+    /// Time since the last contact; only a leader knows it for other members.
+    pub(crate) silence: Option<SpanMillis>,
 }
 
-/// What a dump shows of a replica.
+/// The state of a replica as shown to the rest of the process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ReplicaView {
-    /// This replica and its data folder.
+    /// This replica's identity.
     pub(crate) seat: MemberId,
-    /// The group, once it belongs to one.
+    /// Its group, if any.
     pub(crate) group: Option<GroupId>,
-    /// The newest term.
+    /// The latest term seen.
     pub(crate) term: TermNumber,
-    /// What it does.
     pub(crate) role: ReplicaRole,
-    /// Who leads, if that is known.
+    /// The leader, if known.
     pub(crate) leader: Option<MemberId>,
-    /// The last committed entry that is known here.
+    /// The commit index as known here.
     pub(crate) commit: LogIndex,
-    /// The last applied entry.
+    /// Index of the last applied entry.
     pub(crate) applied: LogIndex,
-    /// The last entry.
+    /// Index of the last entry.
     pub(crate) last: LogIndex,
-    /// The last entry that is synced here.
+    /// Index of the last synced entry.
     pub(crate) durable: LogIndex,
-    /// The last entry that the newest snapshot includes.
+    /// Last index included in the latest snapshot.
     pub(crate) snapshot: LogIndex,
-    /// The members at the end of the log.
+    /// The latest members in the log, committed or not.
     pub(crate) members: Vec<MemberView>,
     /// Whether these members are committed.
     pub(crate) members_committed: bool,
-    /// Whether a leader is heard, or is this replica, and an entry of its term
-    /// is committed: nothing accepted by earlier leaders is missing here.
+    /// Whether there is a leader and an entry of its term is committed here, so that
+    /// nothing acknowledged by earlier leaders is missing.
     pub(crate) caught_up: bool,
 }
 
 impl ReplicaCore {
-    /// Returns what a dump shows of this replica.
+    /// Returns the current state of this replica.
     pub(crate) fn view(&self, now: ClockMillis) -> ReplicaView {
         ReplicaView {
             seat: self.member_id(),
@@ -84,7 +82,7 @@
         let members = self.log.members().list().iter();
         members
             .map(|member| {
-                let (held, silent) = match &self.role {
+                let (match_index, silence) = match &self.role {
                     _ if member.id.disk == self.hard_state.disk => {
                         (self.disk.durable_index(), Some(SpanMillis::ZERO))
                     }
@@ -102,8 +100,8 @@
                 MemberView {
                     seat: member.id,
                     voting_status: member.voting_status,
-                    held,
-                    silent,
+                    match_index,
+                    silence,
                 }
             })
             .collect()
--- a/src/control/replica/replication.rs
+++ b/src/control/replica/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: the leader's side and the follower's side of appending.
+//! Log replication, on the leader and on followers.
 
 use super::{
     DiskId, EntryBody, LogEntry, LogIndex, MemberId, PeerBody, ReplicaAction, ReplicaCore,
@@ -15,7 +15,7 @@
 use crate::clock::ClockMillis;
 
 impl ReplicaCore {
-    /// Appends an entry of this leader's term.
+    /// Appends an entry of this leader's term; returns its index.
     pub(super) fn append_entry(&mut self, body: EntryBody) -> LogIndex {
         let entry = LogEntry {
             index: self.log.last_index().next(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Sends a heartbeat with a new round to every member.
+    /// Starts a new heartbeat round: sends a heartbeat to every other member.
     pub(super) fn send_heartbeats(&mut self, now: ClockMillis) {
         let commit = self.commit;
         let members = self.log.members().clone();
@@ -70,7 +70,7 @@
         self.confirm_reads();
     }
 
-    /// Sends every member what it lacks, within its window.
+    /// Sends each responsive member the entries that it lacks, within its window.
     pub(super) fn replicate(&mut self, now: ClockMillis) {
         let CoreRole::Leader(leader) = &mut self.role else {
             return;
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Notes what a member holds durably.
+    /// Records what a member has synced.
     pub(super) fn handle_append_accepted(
         &mut self,
         disk: DiskId,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Notes that a member lacks the entry before those that were sent.
+    /// Records that a member lacks the entry before those that were sent.
     pub(super) fn handle_append_rejected(
         &mut self,
         disk: DiskId,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Returns a member's progress after noting that it was heard.
+    /// Records contact with a member; returns its progress on a leader.
     pub(super) fn progress_after_contact(
         &mut self,
         disk: DiskId,
@@ -134,15 +134,15 @@
         Some(progress)
     }
 
-    /// Commits what a majority of the voters holds durably.
+    /// Commits what is synced on a majority of the voters.
     pub(super) fn advance_commit(&mut self) {
         let CoreRole::Leader(leader) = &self.role else {
             return;
         };
-        let held = self.majority_match_index(leader);
-        // Only an entry of the own term settles those before it.
-        if held > self.commit && self.log.term_at(held) == Some(leader.term) {
-            self.commit_to(held);
+        let majority_index = self.majority_match_index(leader);
+        // Raft commits earlier terms' entries only with one of the leader's term.
+        if majority_index > self.commit && self.log.term_at(majority_index) == Some(leader.term) {
+            self.commit_to(majority_index);
             self.answer_committed();
         }
     }
@@ -160,7 +160,8 @@
         })
     }
 
-    /// Applies everything up to `commit`, as far as it is held.
+    /// Raises the commit index to `commit`, at most the log's end, and applies the
+    /// entries up to it.
     pub(super) fn commit_to(&mut self, commit: LogIndex) {
         self.commit = self.commit.max(commit.min(self.log.last_index()));
         while self.applied < self.commit {
@@ -177,7 +178,7 @@
         self.answer_applied_reads();
     }
 
-    /// Takes entries of the leader.
+    /// Handles an append message from the leader; `previous` is the entry before.
     pub(super) fn handle_append(
         &mut self,
         from: MemberId,
@@ -187,7 +188,7 @@
     ) {
         let (previous_index, previous_term) = previous;
         if previous_index < self.log.base_index() {
-            // What lies before is committed, so it is the same here.
+            // Compacted entries are committed, so they equal the leader's.
             let match_index = self.commit;
             self.send_after_sync(from, PeerBody::AppendAccepted { match_index });
             return;
@@ -215,10 +216,10 @@
         self.send_after_sync(from, PeerBody::AppendAccepted { match_index });
     }
 
-    /// Takes one entry; returns whether the log holds it now.
+    /// Adds an entry to the log; returns whether the log contains it now.
     ///
-    /// A committed entry is never replaced: a leader that wants to has lost
-    /// what it promised, such as by an old copy of its data folder.
+    /// A committed entry is never replaced. A leader that tries to has lost entries
+    /// that it had acknowledged, for example by a restored copy of its data folder.
     fn accept_entry(&mut self, entry: LogEntry) -> bool {
         if self.log.term_at(entry.index) == Some(entry.term) {
             return true;
@@ -234,7 +235,7 @@
         true
     }
 
-    /// Returns the last entry that the leader may hold as well.
+    /// Returns the last index at which the log may equal the leader's.
     fn conflict_hint(&self, previous: LogIndex) -> LogIndex {
         let last_index = self.log.last_index();
         if previous > last_index {
@@ -249,7 +250,8 @@
     }
 }
 
-/// Returns the next message for a member, or `None` when its window is full.
+/// Returns the next message for a member, or `None` if its window is full or it
+/// lacks nothing.
 fn next_message(
     log: &ReplicaLog,
     progress: &mut PeerProgress,
--- a/src/control/replica/snapshots.rs
+++ b/src/control/replica/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots: taking them, sending them in chunks, installing them.
+//! Taking snapshots, sending them in chunks and installing them.
 
 use super::{
     DiskId, EntryPayload, GroupMembers, GroupSnapshot, LogIndex, MemberId, PeerBody, ReplicaAction,
@@ -8,7 +8,7 @@
 };
 use crate::clock::ClockMillis;
 
-/// A snapshot of which only the beginning has come in.
+/// A snapshot of which only the first chunks have arrived.
 #[derive(Debug)]
 pub(crate) struct IncomingSnapshot {
     index: LogIndex,
@@ -38,7 +38,7 @@
 }
 
 impl PeerProgress {
-    /// Returns the next chunk of the snapshot, if none is under way.
+    /// Returns the next chunk of the snapshot, unless one is in flight.
     pub(super) fn next_chunk(&mut self, now: ClockMillis) -> Option<PeerBody> {
         let ProgressPhase::SendingSnapshot { snapshot, offset } = &self.phase else {
             return None;
@@ -63,7 +63,7 @@
 }
 
 impl ReplicaCore {
-    /// Has the state machine restored from the newest snapshot.
+    /// Has the state machine restore the latest snapshot, if there is one.
     pub(super) fn restore_snapshot(&mut self) {
         if let Some(snapshot) = self.log.snapshot() {
             let payload = snapshot.payload.clone();
@@ -71,11 +71,13 @@
         }
     }
 
-    /// Asks for a snapshot when the log has grown enough.
+    /// Requests a snapshot from the state machine when the log is due for compaction.
     pub(super) fn request_snapshot(&mut self) {
-        let fresh = self.applied.distance(self.log.snapshot_index());
-        let large = self.log.bytes() >= COMPACTION_BYTES && fresh > 0;
-        if self.snapshot_requested || (fresh < self.compaction.interval_entries && !large) {
+        let new_entries = self.applied.distance(self.log.snapshot_index());
+        let log_is_large = self.log.bytes() >= COMPACTION_BYTES && new_entries > 0;
+        if self.snapshot_requested
+            || (new_entries < self.compaction.interval_entries && !log_is_large)
+        {
             return;
         }
         self.snapshot_requested = true;
@@ -83,11 +85,11 @@
         self.actions.push(ReplicaAction::TakeSnapshot { index });
     }
 
-    /// Keeps the snapshot that the state machine wrote.
+    /// Stores a snapshot from the state machine and compacts the log.
     pub(super) fn store_snapshot(&mut self, index: LogIndex, payload: EntryPayload) {
         self.snapshot_requested = false;
-        let useful = index > self.log.snapshot_index() && index <= self.applied;
-        let Some(term) = self.log.term_at(index).filter(|_| useful) else {
+        let is_newer = index > self.log.snapshot_index() && index <= self.applied;
+        let Some(term) = self.log.term_at(index).filter(|_| is_newer) else {
             return;
         };
         let snapshot = GroupSnapshot {
@@ -101,7 +103,7 @@
         self.disk.save_snapshot(snapshot, self.log.base_index());
     }
 
-    /// Takes a chunk of the leader's snapshot.
+    /// Handles a chunk of the leader's snapshot; installs the snapshot when complete.
     pub(super) fn handle_snapshot_chunk(&mut self, from: MemberId, body: PeerBody) {
         let PeerBody::SnapshotChunk {
             index,
@@ -126,8 +128,8 @@
         else {
             return;
         };
-        let known = self.incoming_snapshot.take();
-        let mut incoming = known
+        let partial = self.incoming_snapshot.take();
+        let mut incoming = partial
             .filter(|incoming| incoming.is_same(index, entry_term, total))
             .unwrap_or_else(|| IncomingSnapshot {
                 index,
@@ -159,7 +161,7 @@
         self.answer_applied_reads();
     }
 
-    /// Notes how much of the snapshot a member has.
+    /// Records how much of a snapshot a member has received.
     pub(super) fn handle_chunk_response(
         &mut self,
         disk: DiskId,
--- a/src/control/replica/tests/group_simulator.rs
+++ b/src/control/replica/tests/group_simulator.rs
@@ -1,4 +1,5 @@
-//! Some replicas, their disks and the messages between them, in any order.
+//! Simulates a group: replicas, their disks and the messages between them, in any
+//! order.
 
 use std::collections::BTreeSet;
 
@@ -17,14 +18,14 @@
     },
 };
 
-/// A message under way.
+/// A message in flight.
 struct Envelope {
     from: usize,
     to: usize,
     message: PeerMessage,
 }
 
-/// The replicas and what was promised to clients.
+/// A simulated group and the history of its clients' requests.
 pub(super) struct GroupSimulator {
     pub(super) nodes: Vec<TestNode>,
     in_flight: Vec<Envelope>,
@@ -33,7 +34,7 @@
     rng: StdRng,
     pub(super) history: HistoryChecker,
     compaction: LogCompaction,
-    /// The replicas that found an open group; a listed group has none.
+    /// The number of replicas that form an open group; `None` for a listed group.
     founders: Option<usize>,
     counted_node: Option<usize>,
     pub(super) messages: usize,
@@ -66,8 +67,8 @@
         simulator
     }
 
-    /// Makes the group open: the first `founders` replicas form it, and every
-    /// other one knows only them.
+    /// Makes the group open: the first `founders` replicas form it, and the others
+    /// know only them.
     pub(super) fn with_founders(mut self, founders: usize) -> Self {
         self.founders = Some(founders);
         for node in 0..self.nodes.len() {
@@ -77,7 +78,7 @@
         self
     }
 
-    /// Sets when every replica compacts its log; they start again.
+    /// Restarts every replica with another compaction of the log.
     pub(super) fn with_compaction(mut self, interval_entries: u64, retained_entries: u64) -> Self {
         self.compaction = LogCompaction {
             interval_entries,
@@ -90,14 +91,14 @@
         self
     }
 
-    /// Counts only the messages from or to one replica from now on.
-    pub(super) fn count_for(&mut self, node: usize) {
+    /// From now on counts only messages from or to one replica.
+    pub(super) fn count_messages_of(&mut self, node: usize) {
         self.counted_node = Some(node);
         self.messages = 0;
         self.bytes = 0;
     }
 
-    /// Starts a stopped replica from its disk.
+    /// Starts a stopped replica from its disk; does nothing if it runs.
     pub(super) fn restart(&mut self, node: usize) {
         if self.nodes[node].core.is_some() {
             return;
@@ -122,7 +123,7 @@
         self.nodes[node].state.clear();
     }
 
-    /// Adds replicas with empty disks; the others start again and know of them.
+    /// Adds replicas with empty disks; the others restart and know of them.
     pub(super) fn add_replicas(&mut self, count: usize) {
         for node in 0..self.nodes.len() {
             self.crash(node, 0);
@@ -135,7 +136,8 @@
         }
     }
 
-    /// Kills a replica; `kept` entries of the batch under way reach the disk.
+    /// Stops a replica without notice. The batch that is being written is lost if
+    /// `kept` is 0, otherwise it is written with its first `kept - 1` entries.
     pub(super) fn crash(&mut self, node: usize, kept: usize) {
         let node = &mut self.nodes[node];
         node.core = None;
@@ -146,19 +148,19 @@
         }
     }
 
-    /// Kills a replica and gives it an empty disk.
+    /// Stops a replica without notice and replaces its disk with an empty one.
     pub(super) fn lose_disk(&mut self, node: usize) {
         self.crash(node, 0);
         self.nodes[node] = TestNode::new(&mut self.rng);
         self.nodes[node].lost_disk = true;
     }
 
-    /// Cuts the way from one replica to another.
+    /// Drops all messages from one replica to another.
     pub(super) fn block_link(&mut self, from: usize, to: usize) {
         self.blocked_links.insert((from, to));
     }
 
-    /// Cuts a replica off in both directions.
+    /// Partitions a replica from all others, in both directions.
     pub(super) fn isolate(&mut self, node: usize) {
         for other in 0..self.nodes.len() {
             self.blocked_links.insert((node, other));
@@ -178,7 +180,7 @@
         self.now = self.now.after(span);
     }
 
-    /// Finishes the sync that is under way at a replica.
+    /// Completes the pending sync of a replica.
     pub(super) fn sync(&mut self, node: usize) {
         if let Some(batch) = self.nodes[node].pending_sync.take() {
             let token = batch.token;
@@ -187,33 +189,33 @@
         }
     }
 
-    /// Delivers a message under way; a copy may stay.
-    pub(super) fn deliver(&mut self, pick: usize, copy: bool) {
+    /// Delivers a message in flight; with `copy` it stays in flight, too.
+    pub(super) fn deliver(&mut self, index: usize, copy: bool) {
         if self.in_flight.is_empty() {
             return;
         }
-        let pick = pick % self.in_flight.len();
+        let index = index % self.in_flight.len();
         let envelope = if copy {
-            let envelope = &self.in_flight[pick];
+            let envelope = &self.in_flight[index];
             Envelope {
                 message: envelope.message.clone(),
                 ..*envelope
             }
         } else {
-            self.in_flight.remove(pick)
+            self.in_flight.remove(index)
         };
         if !self.blocked_links.contains(&(envelope.from, envelope.to)) {
             self.handle(envelope.to, ReplicaEvent::MessageReceived(envelope.message));
         }
     }
 
-    pub(super) fn drop_message(&mut self, pick: usize) {
+    pub(super) fn drop_message(&mut self, index: usize) {
         if !self.in_flight.is_empty() {
-            self.in_flight.remove(pick % self.in_flight.len());
+            self.in_flight.remove(index % self.in_flight.len());
         }
     }
 
-    /// Runs everything in order for a while.
+    /// Runs all replicas for a time span, with messages delivered in order.
     pub(super) fn run(&mut self, span: SpanMillis) {
         let end = self.now.after(span);
         while self.now < end {
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Delivers and syncs until nothing is under way.
+    /// Delivers messages and completes syncs until none are pending.
     pub(super) fn settle(&mut self) {
         const MAX_STEPS: usize = 100_000;
         for _ in 0..MAX_STEPS {
@@ -239,7 +241,7 @@
                 return;
             }
         }
-        panic!("the replicas never come to rest");
+        panic!("the replicas never become idle");
     }
 
     pub(super) fn propose(&mut self, node: usize) -> ProposalKey {
@@ -264,7 +266,7 @@
         Some(core.view(self.now))
     }
 
-    /// Returns the replica that leads in the newest term.
+    /// Returns the leader in the latest term.
     pub(super) fn leader(&self) -> Option<usize> {
         let views = (0..self.nodes.len()).filter_map(|node| Some((node, self.view(node)?)));
         views
@@ -273,11 +275,15 @@
             .map(|(node, _)| node)
     }
 
-    /// Checks that a replica has applied everything that was accepted.
+    /// Checks that a replica has applied every acknowledged change.
     pub(super) fn assert_applied_all_acknowledged(&self, node: usize) {
         for (index, bytes) in &self.history.acknowledged {
-            let held = self.nodes[node].state.get(index);
-            assert_eq!(held, Some(bytes), "entry {index} is lost at {node}");
+            let applied = self.nodes[node].state.get(index);
+            assert_eq!(
+                applied,
+                Some(bytes),
+                "node {node} has not applied entry {index}"
+            );
         }
     }
 
@@ -300,7 +306,9 @@
                     .is_none_or(|counted_node| counted_node == node || counted_node == to)
                 {
                     self.messages += 1;
-                    self.bytes += postcard::to_stdvec(&message).expect("plain data").len();
+                    self.bytes += postcard::to_stdvec(&message)
+                        .expect("it can be encoded")
+                        .len();
                 }
                 self.in_flight.push(Envelope {
                     from: node,
@@ -310,7 +318,10 @@
             }
             ReplicaAction::Persist(batch) => {
                 let earlier = self.nodes[node].pending_sync.replace(batch);
-                assert!(earlier.is_none(), "two batches are under way");
+                assert!(
+                    earlier.is_none(),
+                    "a batch was issued before the last one was synced"
+                );
             }
             ReplicaAction::Apply { index, payload } => {
                 let bytes = payload.bytes().to_vec();
@@ -318,10 +329,12 @@
                 self.nodes[node].state.insert(index.number(), bytes);
             }
             ReplicaAction::Restore { payload } => {
-                self.nodes[node].state = postcard::from_bytes(payload.bytes()).expect("a state");
+                self.nodes[node].state =
+                    postcard::from_bytes(payload.bytes()).expect("an encoded state");
             }
             ReplicaAction::TakeSnapshot { index } => {
-                let bytes = postcard::to_stdvec(&self.nodes[node].state).expect("plain data");
+                let bytes =
+                    postcard::to_stdvec(&self.nodes[node].state).expect("it can be encoded");
                 let payload = EntryPayload::new(bytes);
                 self.handle(node, ReplicaEvent::SnapshotTaken { index, payload });
             }
@@ -329,7 +342,7 @@
                 self.history.check_proposal(key, outcome);
             }
             ReplicaAction::AnswerRead { key, outcome } => {
-                let applied = self.view(node).expect("it answers").applied;
+                let applied = self.view(node).expect("it runs").applied;
                 self.history.check_read(key, outcome, applied);
             }
             ReplicaAction::Report(report) => self.history.check_report(node, report),
--- a/src/control/replica/tests/history_checker.rs
+++ b/src/control/replica/tests/history_checker.rs
@@ -4,7 +4,7 @@
     LogIndex, ProposalKey, ProposalOutcome, ReadKey, ReadOutcome, ReplicaReport,
 };
 
-/// What clients asked for and were promised; it checks every promise.
+/// Records the requests of clients and checks every answer against them.
 #[derive(Debug, Default)]
 pub(super) struct HistoryChecker {
     proposals: BTreeMap<ProposalKey, Vec<u8>>,
@@ -19,7 +19,7 @@
 }
 
 impl HistoryChecker {
-    /// Returns a change that no other proposal has.
+    /// Registers a proposal; returns its key and a unique payload.
     pub(super) fn new_proposal(&mut self) -> (ProposalKey, Vec<u8>) {
         self.last_key += 1;
         let key = ProposalKey(self.last_key);
@@ -28,7 +28,7 @@
         (key, bytes)
     }
 
-    /// Returns a read that has to see everything accepted so far.
+    /// Registers a read that must observe every change acknowledged so far.
     pub(super) fn new_read(&mut self) -> ReadKey {
         self.last_key += 1;
         let key = ReadKey(self.last_key);
@@ -39,7 +39,10 @@
 
     pub(super) fn check_applied(&mut self, index: u64, bytes: &[u8]) {
         let expected = self.applied_changes.entry(index).or_insert(bytes.to_vec());
-        assert_eq!(expected, bytes, "two contents of entry {index}");
+        assert_eq!(
+            expected, bytes,
+            "entry {index} was applied with two payloads"
+        );
     }
 
     pub(super) fn check_proposal(&mut self, key: ProposalKey, outcome: ProposalOutcome) {
@@ -54,8 +57,14 @@
 
     pub(super) fn check_read(&mut self, key: ReadKey, outcome: ReadOutcome, applied: LogIndex) {
         if let ReadOutcome::Confirmed { index } = outcome {
-            assert!(index.number() >= self.reads[&key], "a read is too old");
-            assert!(applied >= index, "a read comes before its state");
+            assert!(
+                index.number() >= self.reads[&key],
+                "a read misses an acknowledged change"
+            );
+            assert!(
+                applied >= index,
+                "a read was confirmed before its index was applied"
+            );
         }
         let earlier = self.read_outcomes.insert(key, outcome);
         assert!(earlier.is_none(), "two answers to a read");
--- a/src/control/replica/tests/mod.rs
+++ b/src/control/replica/tests/mod.rs
@@ -1,5 +1,3 @@
-//! Tests of the replicated log.
-
 mod group_simulator;
 mod history_checker;
 mod measures;
@@ -14,10 +12,10 @@
     test_runner::{RngAlgorithm, RngSeed},
 };
 
-/// The seed of every property test of this folder.
+/// Seed of the property tests in this folder.
 const SEED: u64 = 31;
 
-/// Returns a configuration that draws the same cases in every run.
+/// Returns a configuration that generates the same cases in every run.
 fn fixed_cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
--- a/src/control/replica/tests/open_group.rs
+++ b/src/control/replica/tests/open_group.rs
@@ -1,5 +1,5 @@
-//! Groups that form from seeds, take newcomers and let go of members that are
-//! gone, without an operator.
+//! Open groups: they form from seeds, admit new replicas and remove silent
+//! members without an operator.
 
 use super::group_simulator::GroupSimulator;
 use crate::{
@@ -17,7 +17,7 @@
     (simulator, leader)
 }
 
-/// Has the leader accept a change.
+/// Has the leader commit a change.
 fn commit_change(simulator: &mut GroupSimulator) {
     let leader = simulator.leader().expect("a leader");
     let key = simulator.propose(leader);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn newcomers_that_know_only_the_seeds_become_voters() {
+fn replicas_that_know_only_the_seeds_become_voters() {
     let (simulator, _) = start(6, 3);
     assert_eq!(voters(&simulator), 6);
     for node in 0..6 {
@@ -45,24 +45,24 @@
 }
 
 #[test]
-fn a_newcomer_takes_the_place_of_a_member_that_is_gone() {
+fn a_new_replica_replaces_a_crashed_voter() {
     let (mut simulator, leader) = start(3, 3);
-    let gone = (leader + 1) % 3;
-    simulator.crash(gone, 0);
+    let crashed = (leader + 1) % 3;
+    simulator.crash(crashed, 0);
     simulator.add_replicas(1);
-    simulator.crash(gone, 0);
+    simulator.crash(crashed, 0);
     simulator.run(SETTLE_MILLIS.times(2));
     assert_eq!(voters(&simulator), 3);
-    // The newcomer counts: another member may be lost now.
-    let next = (0..3).find(|node| *node != gone && Some(*node) != simulator.leader());
-    simulator.crash(next.expect("a follower"), 0);
+    // The new replica is a voter, so the group tolerates another lost member.
+    let next_crashed = (0..3).find(|node| *node != crashed && Some(*node) != simulator.leader());
+    simulator.crash(next_crashed.expect("a follower"), 0);
     simulator.run(SETTLE_MILLIS);
     commit_change(&mut simulator);
     simulator.assert_applied_all_acknowledged(3);
 }
 
 #[test]
-fn a_silent_member_stays_while_no_more_than_the_least_voters_are_left() {
+fn a_silent_voter_is_not_removed_below_the_minimum_of_voters() {
     let (mut simulator, leader) = start(3, 3);
     simulator.isolate((leader + 1) % 3);
     simulator.run(SETTLE_MILLIS.times(3));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_member_that_was_removed_while_it_was_cut_off_joins_again() {
+fn a_voter_that_was_removed_during_a_partition_joins_again() {
     let (mut simulator, leader) = start(5, 3);
     let partitioned = (leader + 1) % 5;
     simulator.isolate(partitioned);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_seed_that_lost_its_disk_never_founds_a_second_group() {
+fn a_seed_that_lost_its_disk_forms_no_second_group() {
     let (mut simulator, leader) = start(3, 3);
     let lost = (leader + 1) % 3;
     let group = simulator.view(leader).expect("it runs").group;
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn replicas_that_all_lost_power_show_what_was_committed_before_they_elect() {
+fn replicas_that_all_restart_apply_committed_changes_before_an_election() {
     let (mut simulator, _) = start(3, 3);
     simulator.run(SpanMillis::new(500));
     for node in 0..3 {
--- a/src/control/replica/tests/random_faults.rs
+++ b/src/control/replica/tests/random_faults.rs
@@ -1,4 +1,5 @@
-//! What holds under any order of messages, losses, cuts and restarts.
+//! Property tests: invariants under random message orders, losses, partitions
+//! and restarts.
 
 use proptest::prelude::*;
 
@@ -8,7 +9,7 @@
     control::replica::{PeerMessage, ReplicaReport, limits::ELECTION_MAX_MILLIS},
 };
 
-/// One thing that happens.
+/// One step of a random run.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Deliver(usize),
@@ -26,7 +27,7 @@
     BlockLink(usize, usize),
     Isolate(usize),
     Heal,
-    /// Everyone's patience with the leader ends at once.
+    /// All election timers expire at once.
     ExpireElectionTimers,
     Run(u64),
 }
@@ -54,7 +55,7 @@
     ]
 }
 
-fn run_step(simulator: &mut GroupSimulator, step: Step, lost: &mut Option<usize>) {
+fn run_step(simulator: &mut GroupSimulator, step: Step, lost_disk: &mut Option<usize>) {
     let count = simulator.nodes.len();
     match step {
         Step::Deliver(pick) => simulator.deliver(pick, false),
@@ -73,11 +74,11 @@
         Step::Crash(node, kept) => simulator.crash(node % count, kept),
         Step::Restart(node) => simulator.restart(node % count),
         Step::LoseDisk(node) => {
-            // A second disk is lost only after the repair of the first.
-            if lost.is_none() {
+            // The group tolerates a second lost disk only after repair of the first.
+            if lost_disk.is_none() {
                 simulator.lose_disk(node % count);
                 simulator.history.reports.clear();
-                *lost = Some(node % count);
+                *lost_disk = Some(node % count);
             }
         }
         Step::BlockLink(from, to) => simulator.block_link(from % count, to % count),
@@ -97,7 +98,7 @@
         .iter()
         .any(|(_, report)| matches!(report, ReplicaReport::RepairDone { .. }));
     if repaired {
-        *lost = None;
+        *lost_disk = None;
     }
 }
 
@@ -108,7 +109,7 @@
     simulator
 }
 
-/// Lets everything recover and checks that nothing accepted is gone.
+/// Lets the group recover and checks that no acknowledged change is lost.
 fn recover_and_check(mut simulator: GroupSimulator) {
     simulator.heal();
     for node in 0..simulator.nodes.len() {
@@ -120,7 +121,7 @@
     simulator.run(SpanMillis::new(1_000));
     assert!(
         !simulator.history.acknowledged.is_empty(),
-        "nothing is accepted"
+        "no change was acknowledged"
     );
     for node in 0..simulator.nodes.len() {
         simulator.assert_applied_all_acknowledged(node);
@@ -131,33 +132,33 @@
     #![proptest_config(fixed_cases(96))]
 
     #[test]
-    fn nothing_accepted_is_lost_with_three(
+    fn three_replicas_lose_no_acknowledged_change(
         seed: u64,
         steps in prop::collection::vec(any_step(), 50..500),
     ) {
         let mut simulator = start(3, seed);
-        let mut lost = None;
+        let mut lost_disk = None;
         for step in steps {
-            run_step(&mut simulator, step, &mut lost);
+            run_step(&mut simulator, step, &mut lost_disk);
         }
         recover_and_check(simulator);
     }
 
     #[test]
-    fn nothing_accepted_is_lost_with_five(
+    fn five_replicas_lose_no_acknowledged_change(
         seed: u64,
         steps in prop::collection::vec(any_step(), 50..400),
     ) {
         let mut simulator = start(5, seed);
-        let mut lost = None;
+        let mut lost_disk = None;
         for step in steps {
-            run_step(&mut simulator, step, &mut lost);
+            run_step(&mut simulator, step, &mut lost_disk);
         }
         recover_and_check(simulator);
     }
 
     #[test]
-    fn arbitrary_bytes_never_break_the_decoder(
+    fn decoding_arbitrary_bytes_never_panics(
         bytes in prop::collection::vec(any::<u8>(), 0..512),
     ) {
         let _ = postcard::from_bytes::<PeerMessage>(&bytes);
--- a/src/control/replica/tests/scenarios.rs
+++ b/src/control/replica/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Single faults whose outcome is known.
+//! Scenarios with a few faults and a known outcome.
 
 use rstest::rstest;
 
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn one_empty_disk_alone_forms_no_group() {
+fn a_partitioned_replica_with_an_empty_disk_forms_no_group() {
     let mut simulator = GroupSimulator::new(3, 3);
     simulator.isolate(0);
     simulator.run(SETTLE_MILLIS);
@@ -52,25 +52,25 @@
 }
 
 #[test]
-fn a_leader_that_is_cut_off_confirms_no_read_and_accepts_nothing() {
-    let (mut simulator, old) = start(3);
-    simulator.isolate(old);
-    let unknown = simulator.propose(old);
-    let read = simulator.read(old);
+fn a_partitioned_leader_confirms_no_read_and_commits_nothing() {
+    let (mut simulator, old_leader) = start(3);
+    simulator.isolate(old_leader);
+    let unknown_proposal = simulator.propose(old_leader);
+    let read = simulator.read(old_leader);
     simulator.run(SETTLE_MILLIS);
-    let new = simulator.leader().expect("the majority goes on");
-    assert_ne!(new, old);
-    simulator.propose(new);
+    let new_leader = simulator.leader().expect("the majority elects a leader");
+    assert_ne!(new_leader, old_leader);
+    simulator.propose(new_leader);
     simulator.settle();
-    let read_after = simulator.read(old);
-    let refused = simulator.propose(old);
+    let read_after = simulator.read(old_leader);
+    let refused_proposal = simulator.propose(old_leader);
     simulator.run(SETTLE_MILLIS);
     assert_eq!(
-        simulator.history.outcomes[&unknown],
+        simulator.history.outcomes[&unknown_proposal],
         ProposalOutcome::OutcomeUnknown
     );
     assert_eq!(
-        simulator.history.outcomes[&refused],
+        simulator.history.outcomes[&refused_proposal],
         ProposalOutcome::NoQuorum
     );
     assert_eq!(simulator.history.read_outcomes[&read], ReadOutcome::Refused);
@@ -81,27 +81,27 @@
 }
 
 #[test]
-fn a_follower_that_is_cut_off_confirms_no_read() {
+fn a_partitioned_follower_confirms_no_read() {
     let (mut simulator, leader) = start(3);
     let follower = (leader + 1) % 3;
-    let current = simulator.read(follower);
+    let confirmed_read = simulator.read(follower);
     simulator.settle();
     assert!(matches!(
-        simulator.history.read_outcomes[&current],
+        simulator.history.read_outcomes[&confirmed_read],
         ReadOutcome::Confirmed { .. }
     ));
     simulator.isolate(follower);
-    let stale = simulator.read(follower);
+    let refused_read = simulator.read(follower);
     simulator.propose(leader);
     simulator.run(SETTLE_MILLIS);
     assert_eq!(
-        simulator.history.read_outcomes[&stale],
+        simulator.history.read_outcomes[&refused_read],
         ReadOutcome::Refused
     );
 }
 
 #[test]
-fn a_replica_that_returns_from_a_cut_does_not_depose_the_leader() {
+fn a_replica_does_not_depose_the_leader_after_a_partition() {
     let (mut simulator, leader) = start(3);
     let term = simulator.view(leader).expect("it runs").term;
     simulator.isolate((leader + 1) % 3);
@@ -113,23 +113,23 @@
 }
 
 #[test]
-fn a_second_disk_may_be_lost_right_after_a_repair_is_reported() {
+fn losing_a_second_disk_right_after_a_reported_repair_loses_no_change() {
     let (mut simulator, leader) = start(3);
-    let first = (leader + 1) % 3;
-    simulator.crash(first, 0);
+    let first_lost = (leader + 1) % 3;
+    simulator.crash(first_lost, 0);
     for _ in 0..20 {
         simulator.propose(leader);
         simulator.settle();
     }
-    simulator.lose_disk(first);
-    simulator.restart(first);
+    simulator.lose_disk(first_lost);
+    simulator.restart(first_lost);
     while completed_repairs(&simulator) == 0 {
         simulator.run(SpanMillis::new(25));
     }
     simulator.lose_disk(leader);
     simulator.run(SETTLE_MILLIS);
-    let next = simulator.leader().expect("two of three answer");
-    simulator.assert_applied_all_acknowledged(next);
+    let next_leader = simulator.leader().expect("two of three answer");
+    simulator.assert_applied_all_acknowledged(next_leader);
     simulator.restart(leader);
     simulator.run(SpanMillis::new(8_000));
     assert_eq!(completed_repairs(&simulator), 2);
@@ -139,20 +139,20 @@
 }
 
 #[test]
-fn a_disk_lost_during_a_repair_stops_the_group_and_loses_nothing() {
+fn losing_a_second_disk_during_a_repair_stops_the_group_and_loses_no_change() {
     let (mut simulator, leader) = start(3);
-    let (first, second) = ((leader + 1) % 3, (leader + 2) % 3);
-    simulator.lose_disk(first);
-    simulator.restart(first);
-    simulator.block_link(leader, first);
+    let (first_lost, second_lost) = ((leader + 1) % 3, (leader + 2) % 3);
+    simulator.lose_disk(first_lost);
+    simulator.restart(first_lost);
+    simulator.block_link(leader, first_lost);
     simulator.run(SpanMillis::new(1_000));
-    simulator.lose_disk(second);
+    simulator.lose_disk(second_lost);
     simulator.heal();
     simulator.run(SETTLE_MILLIS);
-    let refused = simulator.propose(leader);
+    let refused_proposal = simulator.propose(leader);
     let read = simulator.read(leader);
     assert_eq!(
-        simulator.history.outcomes[&refused],
+        simulator.history.outcomes[&refused_proposal],
         ProposalOutcome::NoQuorum
     );
     assert_eq!(simulator.history.read_outcomes[&read], ReadOutcome::Refused);
@@ -169,18 +169,18 @@
 }
 
 #[test]
-fn an_empty_disk_does_not_count_while_it_lacks_entries() {
+fn a_learner_is_not_promoted_while_it_lacks_entries() {
     let (mut simulator, leader) = start(3);
-    let (first, second) = ((leader + 1) % 3, (leader + 2) % 3);
-    simulator.lose_disk(first);
-    simulator.restart(first);
-    simulator.crash(second, 0);
+    let (lost, crashed) = ((leader + 1) % 3, (leader + 2) % 3);
+    simulator.lose_disk(lost);
+    simulator.restart(lost);
+    simulator.crash(crashed, 0);
     let key = simulator.propose(leader);
     simulator.run(SpanMillis::new(20_000));
     let outcome = simulator.history.outcomes.get(&key);
     assert!(!matches!(outcome, Some(ProposalOutcome::Committed { .. })));
     assert_eq!(completed_repairs(&simulator), 0);
-    simulator.restart(second);
+    simulator.restart(crashed);
     simulator.run(SpanMillis::new(8_000));
     assert_eq!(completed_repairs(&simulator), 1);
     let view = simulator.view(simulator.leader().expect("all answer"));
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_member_that_lags_far_gets_a_snapshot() {
+fn a_follower_that_lags_far_receives_a_snapshot() {
     let (mut simulator, leader) = start(3);
     let lagging = (leader + 1) % 3;
     simulator.crash(lagging, 0);
@@ -224,22 +224,22 @@
 }
 
 #[test]
-fn a_leader_that_steps_aside_is_followed_at_once() {
-    let (mut simulator, old) = start(3);
+fn a_leadership_transfer_needs_no_election_timeout() {
+    let (mut simulator, old_leader) = start(3);
     let before = simulator.now;
-    simulator.transfer_leadership(old);
+    simulator.transfer_leadership(old_leader);
     simulator.settle();
     assert_eq!(simulator.now, before);
-    let new = simulator.leader().expect("one is urged to lead");
-    assert_ne!(new, old);
-    let key = simulator.propose(new);
+    let new_leader = simulator.leader().expect("leadership was transferred");
+    assert_ne!(new_leader, old_leader);
+    let key = simulator.propose(new_leader);
     simulator.settle();
     let outcome = simulator.history.outcomes[&key];
     assert!(matches!(outcome, ProposalOutcome::Committed { .. }));
 }
 
 #[test]
-fn a_leader_stays_when_no_other_holds_everything() {
+fn leadership_is_not_transferred_to_a_replica_that_lacks_entries() {
     let (mut simulator, leader) = start(3);
     for other in [(leader + 1) % 3, (leader + 2) % 3] {
         simulator.block_link(leader, other);
@@ -252,13 +252,13 @@
 }
 
 #[test]
-fn a_learner_whose_admission_was_reverted_asks_again() {
-    let (mut simulator, old) = start(5);
-    let learner = (old + 1) % 5;
+fn a_learner_whose_admission_was_rolled_back_joins_again() {
+    let (mut simulator, old_leader) = start(5);
+    let learner = (old_leader + 1) % 5;
     simulator.lose_disk(learner);
-    for other in (0..5).filter(|other| *other != old && *other != learner) {
-        simulator.block_link(old, other);
-        simulator.block_link(other, old);
+    for other in (0..5).filter(|other| *other != old_leader && *other != learner) {
+        simulator.block_link(old_leader, other);
+        simulator.block_link(other, old_leader);
     }
     simulator.restart(learner);
     simulator.run(SETTLE_MILLIS);
@@ -267,7 +267,7 @@
     assert!(
         reports
             .iter()
-            .any(|(node, report)| *node == old && admitted(report))
+            .any(|(node, report)| *node == old_leader && admitted(report))
     );
     simulator.heal();
     simulator.run(SpanMillis::new(8_000));
--- a/src/control/replica/tests/single_core.rs
+++ b/src/control/replica/tests/single_core.rs
@@ -1,4 +1,4 @@
-//! Rules of one replica that a group of them rarely shows.
+//! Rules of a single replica that are rarely visible in a simulated group.
 
 use crate::{
     clock::{ClockMillis, SpanMillis},
@@ -12,7 +12,7 @@
 const GROUP: GroupId = GroupId::new(1);
 const LATER_MILLIS: SpanMillis = SpanMillis::new(5_000);
 
-/// One replica of three whose peers are played by the test.
+/// One replica of three; the test plays its peers.
 struct SingleCore {
     core: ReplicaCore,
     now: ClockMillis,
@@ -26,12 +26,12 @@
 }
 
 impl SingleCore {
-    /// Starts replica 1 with one change of term 1 behind the members.
+    /// Starts replica 1 with a log of the members and one change, both of term 1.
     fn new() -> Self {
         Self::with_commit(LogIndex::ZERO)
     }
 
-    /// Starts replica 1 whose data folder remembers a commit.
+    /// Starts replica 1 with a saved commit index.
     fn with_commit(commit: LogIndex) -> Self {
         let members = GroupMembers::new([member_id(1), member_id(2), member_id(3)]);
         let bodies = [
@@ -65,17 +65,17 @@
         }
     }
 
-    /// Handles an event; every batch is synced at once.
+    /// Handles an event; batches are synced at once.
     fn handle(&mut self, event: ReplicaEvent) -> Vec<ReplicaAction> {
         let mut actions = self.core.handle(event, self.now);
-        let mut place = 0;
-        while place < actions.len() {
-            if let ReplicaAction::Persist(batch) = &actions[place] {
+        let mut position = 0;
+        while position < actions.len() {
+            if let ReplicaAction::Persist(batch) = &actions[position] {
                 let token = batch.token;
                 let event = ReplicaEvent::Synced { token };
                 actions.extend(self.core.handle(event, self.now));
             }
-            place += 1;
+            position += 1;
         }
         actions
     }
@@ -90,8 +90,8 @@
         }))
     }
 
-    /// Makes the replica leader of term 2.
-    fn lead(&mut self) {
+    /// Makes the replica the leader of term 2.
+    fn become_leader(&mut self) {
         self.handle(ReplicaEvent::Tick);
         for pre_vote in [true, false] {
             let granted = true;
@@ -99,7 +99,7 @@
         }
     }
 
-    fn ask_vote(&mut self, from: u32, term: u64) -> bool {
+    fn request_vote(&mut self, from: u32, term: u64) -> bool {
         let body = PeerBody::VoteRequest {
             pre_vote: false,
             leadership_transfer: false,
@@ -122,9 +122,9 @@
 }
 
 #[test]
-fn an_entry_of_an_old_term_is_committed_only_with_one_of_the_own() {
+fn an_entry_of_an_earlier_term_is_committed_only_with_one_of_the_current_term() {
     let mut single = SingleCore::new();
-    single.lead();
+    single.become_leader();
     let held = |index| PeerBody::AppendAccepted {
         match_index: LogIndex::new(index),
     };
@@ -133,11 +133,11 @@
 }
 
 #[test]
-fn a_vote_is_given_once_a_term() {
+fn a_replica_votes_for_one_candidate_per_term() {
     let mut single = SingleCore::new();
-    assert!(single.ask_vote(2, 7));
-    assert!(!single.ask_vote(3, 7));
-    assert!(single.ask_vote(2, 7));
+    assert!(single.request_vote(2, 7));
+    assert!(!single.request_vote(3, 7));
+    assert!(single.request_vote(2, 7));
 }
 
 #[test]
@@ -193,19 +193,19 @@
 }
 
 #[test]
-fn a_remembered_commit_is_applied_before_a_leader_is_heard() {
+fn saved_commits_are_applied_before_a_leader_is_known() {
     let mut replica = SingleCore::with_commit(LogIndex::new(2));
     let actions = replica.handle(ReplicaEvent::Tick);
     let applied = |action: &ReplicaAction| matches!(action, ReplicaAction::Apply { index, .. } if *index == LogIndex::new(2));
     assert!(actions.iter().any(applied));
-    // Others may have committed more meanwhile.
+    // The other replicas may have committed more since.
     assert!(!replica.core.view(replica.now).caught_up);
 }
 
 #[test]
 fn a_new_leader_is_caught_up_once_an_entry_of_its_term_is_committed() {
     let mut replica = SingleCore::with_commit(LogIndex::new(2));
-    replica.lead();
+    replica.become_leader();
     assert!(!replica.core.view(replica.now).caught_up);
     let match_index = LogIndex::new(3);
     replica.receive(2, 2, PeerBody::AppendAccepted { match_index });
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_replica_is_shown_by_its_number_or_its_address() {
+fn a_replica_id_is_displayed_as_a_number_or_an_address() {
     assert_eq!(ReplicaId::new(3).to_string(), "3");
     let address = std::net::Ipv4Addr::new(10, 1, 0, 13);
     assert_eq!(ReplicaId::at(address).to_string(), "10.1.0.13");
--- a/src/control/replica/tests/test_node.rs
+++ b/src/control/replica/tests/test_node.rs
@@ -4,13 +4,12 @@
 
 use crate::control::replica::{DiskBatch, DiskId, RecoveredState, ReplicaCore};
 
-/// One replica with its disk; the state machine is the list of its changes.
+/// A replica with its disk; its state machine is a map of the applied changes.
 pub(super) struct TestNode {
     pub(super) core: Option<ReplicaCore>,
     pub(super) disk: RecoveredState,
     pub(super) pending_sync: Option<DiskBatch>,
     pub(super) state: BTreeMap<u64, Vec<u8>>,
-    /// Whether an earlier disk was lost.
     pub(super) lost_disk: bool,
 }
 
--- a/src/control/replica_link/frame_codec.rs
+++ b/src/control/replica_link/frame_codec.rs
@@ -3,22 +3,23 @@
 use super::LinkError;
 use crate::control::replica::{MAX_ENTRY_BYTES, PeerMessage};
 
-/// The largest payload of a frame whose sender is proved.
+/// Largest payload of a frame once the sender is authenticated.
 pub(super) const MAX_PAYLOAD_BYTES: usize = MAX_ENTRY_BYTES + (2 << 20);
-/// The largest payload of the first frame, before anything is proved.
-pub(super) const FIRST_PAYLOAD_BYTES: usize = 64;
+/// Largest payload of the first frame, before the sender is authenticated.
+pub(super) const MAX_FIRST_PAYLOAD_BYTES: usize = 64;
 
-/// What a frame carries.
+/// The content of a frame, encoded with postcard: the order of variants is part of
+/// the protocol.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum FrameContent {
-    /// Nothing; the sender is alive.
-    Alive,
+    /// Shows that the sender is alive.
+    KeepAlive,
     /// A message for the receiving replica.
     Message(PeerMessage),
 }
 
 impl FrameContent {
-    /// Returns the payload of a frame.
+    /// Encodes the payload of a frame.
     pub(super) fn encode(&self) -> Result<Vec<u8>, LinkError> {
         let payload = postcard::to_stdvec(self).map_err(|_| LinkError::Undecodable)?;
         if payload.len() > MAX_PAYLOAD_BYTES {
@@ -30,7 +31,7 @@
         Ok(payload)
     }
 
-    /// Reads the payload of a frame.
+    /// Decodes the payload of a frame.
     pub(super) fn decode(payload: &[u8]) -> Result<Self, LinkError> {
         postcard::from_bytes(payload).map_err(|_| LinkError::Undecodable)
     }
--- a/src/control/replica_link/link_error.rs
+++ b/src/control/replica_link/link_error.rs
@@ -3,36 +3,36 @@
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// Why a connection between replicas failed or was closed.
+/// Why a connection between replicas failed.
 #[derive(Debug, Error, Diagnostic)]
 pub enum LinkError {
-    /// The address for the other replicas can't be listened on.
+    /// The address for peer connections can't be listened on.
     #[error("cannot listen for other replicas on {address}: {cause}")]
     Listen {
         /// The address from the settings.
         address: SocketAddrV4,
-        /// What the system answered.
+        /// The error of the system.
         #[source]
         cause: io::Error,
     },
-    /// The connection broke.
-    #[error("the connection broke: {0}")]
-    Broken(#[from] io::Error),
-    /// The other side did not answer in time.
-    #[error("the other side is silent")]
-    Silent,
-    /// A frame is longer than is allowed at this point.
-    #[error("a frame of {length} bytes; allowed: {allowed}")]
+    /// The connection can't be made or failed.
+    #[error("the connection failed: {0}")]
+    ConnectionFailed(#[from] io::Error),
+    /// The other replica did not respond in time.
+    #[error("the other replica did not respond in time")]
+    TimedOut,
+    /// A frame is longer than allowed at this point.
+    #[error("a frame has {length} bytes, more than the allowed {allowed}")]
     TooLong {
-        /// The length that the frame claims.
+        /// The length of the payload.
         length: usize,
-        /// The largest length.
+        /// The largest allowed length.
         allowed: usize,
     },
-    /// A frame proves no knowledge of the deployment secret.
-    #[error("a frame carries a wrong proof")]
-    WrongProof,
+    /// The tag of a frame does not match the deployment secret.
+    #[error("a frame has an invalid authentication tag")]
+    InvalidTag,
     /// A frame is authentic but can't be decoded.
-    #[error("a frame can't be decoded; the other replica may run another version")]
+    #[error("a frame can't be decoded; the other replica may run a different version")]
     Undecodable,
 }
--- a/src/control/replica_link/link_listener.rs
+++ b/src/control/replica_link/link_listener.rs
@@ -14,8 +14,8 @@
 use super::{
     LinkError,
     frame_codec::FrameContent,
-    frame_stream::{FrameReader, FrameWriter, within_silence},
-    session_key::{FrameWay, NONCE_BYTES, SessionKey},
+    frame_stream::{FrameReader, FrameWriter, with_silence_timeout},
+    session_key::{FrameDirection, NONCE_BYTES, SessionKey},
 };
 use crate::{
     clock::SpanMillis,
@@ -24,12 +24,12 @@
     secret::SecretStore,
 };
 
-/// The most connections at a time.
+/// Most connections at a time.
 const MAX_CONNECTIONS: usize = 64;
-/// The pause after the system refused to hand over a connection.
-const ACCEPT_PAUSE_MILLIS: SpanMillis = SpanMillis::new(100);
+/// Pause after a failed accept.
+const ACCEPT_RETRY_MILLIS: SpanMillis = SpanMillis::new(100);
 
-/// Accepts the connections of the other replicas.
+/// Accepts connections from other replicas.
 #[derive(Debug)]
 pub(crate) struct LinkListener {
     listener: TcpListener,
@@ -41,7 +41,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the address can't be had.
+    /// Fails when the address can't be bound.
     pub(crate) async fn bind(address: SocketAddrV4) -> Result<Self, LinkError> {
         let failed = |cause| LinkError::Listen { address, cause };
         let listener = TcpListener::bind(address).await.map_err(failed)?;
@@ -57,33 +57,33 @@
         self.address
     }
 
-    /// Hands every authentic message to `inbox` until that is closed.
+    /// Sends every authenticated message to `inbox` until that is closed.
     pub(crate) async fn run(self, inbox: mpsc::Sender<PeerMessage>, secret: SecretStore) {
         let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         while !inbox.is_closed() {
             let Ok((stream, peer)) = self.listener.accept().await else {
-                sleep(ACCEPT_PAUSE_MILLIS.duration()).await;
+                sleep(ACCEPT_RETRY_MILLIS.duration()).await;
                 continue;
             };
             let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
                 counter!("cyclamen_control_link_refused_total").increment(1);
                 continue;
             };
-            let task = serve(stream, peer, inbox.clone(), secret.clone(), permit);
+            let task = serve_connection(stream, peer, inbox.clone(), secret.clone(), permit);
             tokio::spawn(task);
         }
     }
 }
 
-async fn serve(
+async fn serve_connection(
     stream: TcpStream,
     peer: SocketAddr,
     inbox: mpsc::Sender<PeerMessage>,
     secret: SecretStore,
     _permit: OwnedSemaphorePermit,
 ) {
-    match receive_all(stream, inbox, secret).await {
-        Ok(()) | Err(LinkError::Broken(_) | LinkError::Silent) => {}
+    match receive_messages(stream, inbox, secret).await {
+        Ok(()) | Err(LinkError::ConnectionFailed(_) | LinkError::TimedOut) => {}
         Err(error) => {
             counter!("cyclamen_control_link_refused_total").increment(1);
             log_event!(warn, ControlEvent::LinkRefused, %peer, %error);
@@ -91,24 +91,24 @@
     }
 }
 
-async fn receive_all(
+async fn receive_messages(
     mut stream: TcpStream,
     inbox: mpsc::Sender<PeerMessage>,
     secret: SecretStore,
 ) -> Result<(), LinkError> {
     stream.set_nodelay(true)?;
-    let own: [u8; NONCE_BYTES] = rand::random();
-    within_silence(stream.write_all(&own)).await?;
-    let mut theirs = [0; NONCE_BYTES];
-    within_silence(stream.read_exact(&mut theirs)).await?;
-    let key = SessionKey::new(secret, theirs, own);
+    let own_nonce: [u8; NONCE_BYTES] = rand::random();
+    with_silence_timeout(stream.write_all(&own_nonce)).await?;
+    let mut peer_nonce = [0; NONCE_BYTES];
+    with_silence_timeout(stream.read_exact(&mut peer_nonce)).await?;
+    let key = SessionKey::new(secret, peer_nonce, own_nonce);
     let (read_half, write_half) = stream.into_split();
-    let mut reader = FrameReader::new(read_half, key.clone(), FrameWay::Forward);
-    let mut writer = FrameWriter::new(write_half, key, FrameWay::Back);
+    let mut reader = FrameReader::new(read_half, key.clone(), FrameDirection::FromDialler);
+    let mut writer = FrameWriter::new(write_half, key, FrameDirection::FromAcceptor);
     loop {
         let payload = reader.read().await?;
         match FrameContent::decode(&payload)? {
-            FrameContent::Alive => writer.write(&FrameContent::Alive.encode()?).await?,
+            FrameContent::KeepAlive => writer.write(&FrameContent::KeepAlive.encode()?).await?,
             FrameContent::Message(message) => {
                 if inbox.send(message).await.is_err() {
                     return Ok(());
--- a/src/control/replica_link/link_sender.rs
+++ b/src/control/replica_link/link_sender.rs
@@ -11,8 +11,8 @@
 use super::{
     LinkError,
     frame_codec::FrameContent,
-    frame_stream::{FrameReader, FrameWriter, SILENCE_MILLIS, within_silence},
-    session_key::{FrameWay, NONCE_BYTES, SessionKey},
+    frame_stream::{FrameReader, FrameWriter, SILENCE_TIMEOUT_MILLIS, with_silence_timeout},
+    session_key::{FrameDirection, NONCE_BYTES, SessionKey},
 };
 use crate::{
     clock::SpanMillis,
@@ -24,28 +24,28 @@
     secret::SecretStore,
 };
 
-/// The messages that wait for one peer; more are lost.
+/// Most messages that are queued for a peer; further ones are dropped.
 const MAX_QUEUED_MESSAGES: usize = 1_024;
-/// The time without a message after which a sign of life is sent.
-const ALIVE_MILLIS: SpanMillis = SpanMillis::new(500);
-/// The pause after the first failure; it doubles with each one.
-const MIN_PAUSE_MILLIS: SpanMillis = SpanMillis::new(50);
-/// How long connecting may take. A VM without power does not answer, and the
-/// kernel repeats its first packet only after a second.
-const CONNECT_MILLIS: SpanMillis = SpanMillis::new(250);
-/// The longest pause between two attempts.
-const MAX_PAUSE_MILLIS: SpanMillis = SpanMillis::new(200);
+/// Interval between keep-alives.
+const KEEP_ALIVE_MILLIS: SpanMillis = SpanMillis::new(500);
+/// Shortest pause before a reconnect; it doubles with each failure.
+const MIN_BACKOFF_MILLIS: SpanMillis = SpanMillis::new(50);
+/// How long a connect may take. It is below a second because a VM without power
+/// does not answer, and the kernel sends the SYN again only after a second.
+const CONNECT_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(250);
+/// Longest pause before a reconnect.
+const MAX_BACKOFF_MILLIS: SpanMillis = SpanMillis::new(200);
 
-/// Sends messages to one peer and keeps the connection to it.
+/// Sends messages to one peer and reconnects when the connection fails.
 #[derive(Debug, Clone)]
 pub(crate) struct LinkSender {
     queue: mpsc::Sender<PeerMessage>,
 }
 
 impl LinkSender {
-    /// Starts to connect; it must be called within the runtime.
+    /// Starts a task that connects; must be called within the runtime.
     ///
-    /// The task ends when every sender is dropped.
+    /// The task ends when all clones of the sender are dropped.
     pub(crate) fn start(replica: ReplicaId, address: SocketAddrV4, secret: SecretStore) -> Self {
         let (queue, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let task = SenderTask {
@@ -58,7 +58,8 @@
         Self { queue }
     }
 
-    /// Hands over a message; it is lost if the peer can't be reached.
+    /// Queues a message. It is dropped if the queue is full or the peer can't be
+    /// reached.
     pub(crate) fn send(&self, message: PeerMessage) {
         if self.queue.try_send(message).is_err() {
             counter!("cyclamen_control_link_dropped_total").increment(1);
@@ -75,84 +76,84 @@
 
 impl SenderTask {
     async fn run(mut self) {
-        let mut pause = MIN_PAUSE_MILLIS;
-        let mut reported = false;
+        let mut backoff = MIN_BACKOFF_MILLIS;
+        let mut failure_logged = false;
         while !self.messages.is_closed() || !self.messages.is_empty() {
             match self.connect().await {
                 Ok((writer, reader)) => {
-                    pause = MIN_PAUSE_MILLIS;
-                    reported = false;
+                    backoff = MIN_BACKOFF_MILLIS;
+                    failure_logged = false;
                     log_event!(info, ControlEvent::LinkUp, replica = %self.replica);
-                    let Err(error) = self.send_all(writer, reader).await else {
+                    let Err(error) = self.send_messages(writer, reader).await else {
                         return;
                     };
                     log_event!(warn, ControlEvent::LinkDown, replica = %self.replica, %error);
                 }
-                Err(error) if !reported => {
-                    reported = true;
+                Err(error) if !failure_logged => {
+                    failure_logged = true;
                     log_event!(warn, ControlEvent::LinkDown, replica = %self.replica, %error);
                 }
                 Err(_) => {}
             }
-            sleep(pause.duration()).await;
-            pause = pause.times(2).min(MAX_PAUSE_MILLIS);
-            // What was meant for the old connection is out of date.
+            sleep(backoff.duration()).await;
+            backoff = backoff.times(2).min(MAX_BACKOFF_MILLIS);
+            // Messages queued for the old connection are out of date.
             while self.messages.try_recv().is_ok() {}
         }
     }
 
     async fn connect(&self) -> Result<(FrameWriter, FrameReader), LinkError> {
         let connect = TcpStream::connect(self.address);
-        let connected = timeout(CONNECT_MILLIS.duration(), connect).await;
-        let mut stream = connected.map_err(|_| LinkError::Silent)??;
+        let connected = timeout(CONNECT_TIMEOUT_MILLIS.duration(), connect).await;
+        let mut stream = connected.map_err(|_| LinkError::TimedOut)??;
         stream.set_nodelay(true)?;
-        let own: [u8; NONCE_BYTES] = rand::random();
-        within_silence(stream.write_all(&own)).await?;
-        let mut theirs = [0; NONCE_BYTES];
-        within_silence(stream.read_exact(&mut theirs)).await?;
-        let key = SessionKey::new(self.secret.clone(), own, theirs);
+        let own_nonce: [u8; NONCE_BYTES] = rand::random();
+        with_silence_timeout(stream.write_all(&own_nonce)).await?;
+        let mut peer_nonce = [0; NONCE_BYTES];
+        with_silence_timeout(stream.read_exact(&mut peer_nonce)).await?;
+        let key = SessionKey::new(self.secret.clone(), own_nonce, peer_nonce);
         let (read_half, write_half) = stream.into_split();
-        let mut writer = FrameWriter::new(write_half, key.clone(), FrameWay::Forward);
-        let mut reader = FrameReader::new(read_half, key, FrameWay::Back);
-        writer.write(&FrameContent::Alive.encode()?).await?;
+        let mut writer = FrameWriter::new(write_half, key.clone(), FrameDirection::FromDialler);
+        let mut reader = FrameReader::new(read_half, key, FrameDirection::FromAcceptor);
+        writer.write(&FrameContent::KeepAlive.encode()?).await?;
         reader.read().await?;
         Ok((writer, reader))
     }
 
-    /// Sends until the connection fails, or nobody can hand over messages.
-    async fn send_all(
+    /// Sends messages until the connection fails or all senders are dropped.
+    async fn send_messages(
         &mut self,
         mut writer: FrameWriter,
         mut reader: FrameReader,
     ) -> Result<(), LinkError> {
-        // Each answer has to follow on the last within the time of silence.
-        let answers = tokio::spawn(async move {
+        // Ends when no frame arrives within `SILENCE_TIMEOUT_MILLIS`.
+        let reader_task = tokio::spawn(async move {
             loop {
                 if let Err(error) = reader.read().await {
                     return error;
                 }
             }
         });
-        let result = self.send_until_closed(&mut writer, &answers).await;
-        answers.abort();
+        let result = self.send_until_closed(&mut writer, &reader_task).await;
+        reader_task.abort();
         result
     }
 
     async fn send_until_closed(
         &mut self,
         writer: &mut FrameWriter,
-        answers: &tokio::task::JoinHandle<LinkError>,
+        reader_task: &tokio::task::JoinHandle<LinkError>,
     ) -> Result<(), LinkError> {
-        let mut alive_at = Instant::now() + ALIVE_MILLIS.duration();
+        let mut keep_alive_at = Instant::now() + KEEP_ALIVE_MILLIS.duration();
         loop {
-            if answers.is_finished() {
-                return Err(LinkError::Silent);
+            if reader_task.is_finished() {
+                return Err(LinkError::TimedOut);
             }
-            if Instant::now() >= alive_at {
-                alive_at = Instant::now() + ALIVE_MILLIS.duration();
-                writer.write(&FrameContent::Alive.encode()?).await?;
+            if Instant::now() >= keep_alive_at {
+                keep_alive_at = Instant::now() + KEEP_ALIVE_MILLIS.duration();
+                writer.write(&FrameContent::KeepAlive.encode()?).await?;
             }
-            match timeout_at(alive_at, self.messages.recv()).await {
+            match timeout_at(keep_alive_at, self.messages.recv()).await {
                 Ok(Some(message)) => {
                     let content = FrameContent::Message(message);
                     writer.write(&content.encode()?).await?;
@@ -164,4 +165,4 @@
     }
 }
 
-const _: () = assert!(ALIVE_MILLIS.millis() * 2 < SILENCE_MILLIS.millis());
+const _: () = assert!(KEEP_ALIVE_MILLIS.millis() * 2 < SILENCE_TIMEOUT_MILLIS.millis());
--- a/src/control/replica_link/mod.rs
+++ b/src/control/replica_link/mod.rs
@@ -1,7 +1,7 @@
-//! Connections between replicas: TCP with authenticated frames.
+//! Connections between replicas: authenticated frames over TCP.
 //!
-//! Each replica dials every other one and sends only on the connections that it
-//! has dialled; the other side answers with a sign of life.
+//! Each replica dials every other one and sends messages only on connections that
+//! it dialled. The acceptor sends back only keep-alives.
 
 mod frame_codec;
 mod frame_stream;
--- a/src/control/replica_link/session_key.rs
+++ b/src/control/replica_link/session_key.rs
@@ -3,27 +3,26 @@
 use super::LinkError;
 use crate::secret::SecretStore;
 
-/// The bytes that each side draws when a connection starts.
+/// Length of the random nonce that each side sends when a connection starts.
 pub(super) const NONCE_BYTES: usize = 16;
-/// The bytes of a proof.
-pub(super) const PROOF_BYTES: usize = 32;
-/// Sets the proofs of this protocol apart from those of calls.
-const PROOF_LABEL: &[u8] = b"cyclamenrouter replica link 1";
+/// Length of an authentication tag, an HMAC.
+pub(super) const TAG_BYTES: usize = 32;
+/// Domain separation: this protocol's tags differ from those of calls, which use
+/// the same key.
+const TAG_LABEL: &[u8] = b"cyclamenrouter replica link 1";
 
-/// Which way a frame goes.
+/// The direction of a frame; the value is part of the tag.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
-pub(super) enum FrameWay {
-    /// From the side that dialled.
-    Forward = 1,
-    /// From the side that accepted.
-    Back = 2,
+pub(super) enum FrameDirection {
+    FromDialler = 1,
+    FromAcceptor = 2,
 }
 
-/// Proves the frames of one connection.
+/// Authenticates the frames of one connection.
 ///
-/// A proof covers both sides' random numbers, the way and the frame's place, so
-/// a frame can't be replayed, reordered or sent back.
+/// A tag covers both nonces, the direction, the frame's sequence number and its
+/// payload, so a frame can't be replayed, reordered or reflected.
 #[derive(Debug, Clone)]
 pub(super) struct SessionKey {
     secret: SecretStore,
@@ -31,7 +30,7 @@
 }
 
 impl SessionKey {
-    /// Creates the key of a connection from both sides' random numbers.
+    /// Creates the key of a connection from the nonces of both sides.
     pub(super) fn new(
         secret: SecretStore,
         dialler: [u8; NONCE_BYTES],
@@ -43,39 +42,42 @@
         Self { secret, nonces }
     }
 
-    /// Returns the epoch in force and the proof of a frame.
-    pub(super) fn prove(
+    /// Returns the epoch of the active secret and the tag of a frame.
+    pub(super) fn sign(
         &self,
-        way: FrameWay,
+        direction: FrameDirection,
         sequence: u64,
         payload: &[u8],
-    ) -> (u8, [u8; PROOF_BYTES]) {
+    ) -> (u8, [u8; TAG_BYTES]) {
         let ring = self.secret.keys();
         let keys = ring.active();
-        let tag = hmac::sign(&keys.call_key, &self.covered(way, sequence, payload));
-        let mut proof = [0; PROOF_BYTES];
-        proof.copy_from_slice(tag.as_ref());
-        (keys.epoch_bits, proof)
+        let signature = hmac::sign(
+            &keys.call_key,
+            &self.signed_bytes(direction, sequence, payload),
+        );
+        let mut tag = [0; TAG_BYTES];
+        tag.copy_from_slice(signature.as_ref());
+        (keys.epoch_bits, tag)
     }
 
-    /// Verifies a frame's proof.
+    /// Verifies the tag of a frame.
     pub(super) fn verify(
         &self,
-        way: FrameWay,
+        direction: FrameDirection,
         sequence: u64,
         payload: &[u8],
-        (epoch_bits, proof): (u8, &[u8]),
+        (epoch_bits, tag): (u8, &[u8]),
     ) -> Result<(), LinkError> {
         let ring = self.secret.keys();
-        let keys = ring.find(epoch_bits).ok_or(LinkError::WrongProof)?;
-        let covered = self.covered(way, sequence, payload);
-        hmac::verify(&keys.call_key, &covered, proof).map_err(|_| LinkError::WrongProof)
+        let keys = ring.find(epoch_bits).ok_or(LinkError::InvalidTag)?;
+        let signed_bytes = self.signed_bytes(direction, sequence, payload);
+        hmac::verify(&keys.call_key, &signed_bytes, tag).map_err(|_| LinkError::InvalidTag)
     }
 
-    fn covered(&self, way: FrameWay, sequence: u64, payload: &[u8]) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(PROOF_LABEL.len() + 48 + payload.len());
-        bytes.extend_from_slice(PROOF_LABEL);
-        bytes.push(way as u8);
+    fn signed_bytes(&self, direction: FrameDirection, sequence: u64, payload: &[u8]) -> Vec<u8> {
+        let mut bytes = Vec::with_capacity(TAG_LABEL.len() + 48 + payload.len());
+        bytes.extend_from_slice(TAG_LABEL);
+        bytes.push(direction as u8);
         bytes.extend_from_slice(&self.nonces);
         bytes.extend_from_slice(&sequence.to_be_bytes());
         bytes.extend_from_slice(payload);
--- a/src/control/replica_link/tests/mod.rs
+++ b/src/control/replica_link/tests/mod.rs
@@ -1,5 +1,3 @@
-//! Tests of the connections between replicas.
-
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use rstest::rstest;
@@ -12,9 +10,9 @@
 
 use super::{
     LinkError, LinkListener, LinkSender,
-    frame_codec::{FIRST_PAYLOAD_BYTES, MAX_PAYLOAD_BYTES},
+    frame_codec::{MAX_FIRST_PAYLOAD_BYTES, MAX_PAYLOAD_BYTES},
     frame_stream::{FrameReader, HEADER_BYTES},
-    session_key::{FrameWay, SessionKey},
+    session_key::{FrameDirection, SessionKey},
 };
 use crate::{
     clock::SpanMillis,
@@ -46,21 +44,21 @@
     (address, messages)
 }
 
-fn store() -> SecretStore {
-    SecretStore::new(&DeploymentSecret::random(1)).expect("a good secret")
+fn new_secret() -> SecretStore {
+    SecretStore::new(&DeploymentSecret::random(1)).expect("a valid secret")
 }
 
 #[tokio::test]
 async fn messages_arrive_in_order() {
-    let secret = store();
+    let secret = new_secret();
     let (address, mut messages) = listen(&secret).await;
     let sender = LinkSender::start(ReplicaId::new(1), address, secret);
-    let receive = async {
-        // What is handed over before the connection stands may be lost.
+    let exchange = async {
+        // Messages sent before the connection is established may be dropped.
         loop {
             sender.send(message(1));
-            let waited = timeout(SpanMillis::new(100).duration(), messages.recv()).await;
-            if matches!(waited, Ok(Some(_))) {
+            let received = timeout(SpanMillis::new(100).duration(), messages.recv()).await;
+            if matches!(received, Ok(Some(_))) {
                 break;
             }
         }
@@ -75,25 +73,25 @@
         terms.retain(|term| *term > 1);
         assert_eq!(terms, [2, 3, 4, 5]);
     };
-    timeout(TEST_TIMEOUT_MILLIS.duration(), receive)
+    timeout(TEST_TIMEOUT_MILLIS.duration(), exchange)
         .await
         .expect("messages arrive");
 }
 
 #[tokio::test]
-async fn another_secret_is_refused() {
-    let (address, mut messages) = listen(&store()).await;
-    let sender = LinkSender::start(ReplicaId::new(1), address, store());
+async fn a_sender_with_another_secret_is_refused() {
+    let (address, mut messages) = listen(&new_secret()).await;
+    let sender = LinkSender::start(ReplicaId::new(1), address, new_secret());
     for _ in 0..10 {
         sender.send(message(1));
-        let waited = timeout(SpanMillis::new(30).duration(), messages.recv()).await;
-        assert!(waited.is_err(), "a message without proof came through");
+        let received = timeout(SpanMillis::new(30).duration(), messages.recv()).await;
+        assert!(received.is_err(), "an unauthenticated message was accepted");
     }
 }
 
 #[rstest]
-#[case(FIRST_PAYLOAD_BYTES, false)]
-#[case(FIRST_PAYLOAD_BYTES + 1, true)]
+#[case(MAX_FIRST_PAYLOAD_BYTES, false)]
+#[case(MAX_FIRST_PAYLOAD_BYTES + 1, true)]
 #[case(MAX_PAYLOAD_BYTES, true)]
 #[tokio::test]
 async fn a_long_first_frame_is_refused_by_its_length(#[case] length: usize, #[case] refused: bool) {
@@ -102,29 +100,30 @@
     let mut dialler = TcpStream::connect(address).await.expect("it listens");
     let (stream, _) = listener.accept().await.expect("a connection");
     let (half, _rest) = stream.into_split();
-    let key = SessionKey::new(store(), [1; 16], [2; 16]);
-    let mut reader = FrameReader::new(half, key, FrameWay::Forward);
+    let key = SessionKey::new(new_secret(), [1; 16], [2; 16]);
+    let mut reader = FrameReader::new(half, key, FrameDirection::FromDialler);
     let length = u32::try_from(length).expect("a frame's length");
     let mut frame = length.to_be_bytes().to_vec();
     frame.resize(HEADER_BYTES, 0);
     dialler.write_all(&frame).await.expect("it reads");
-    // No payload follows: a length that is allowed is waited for.
-    let error = reader.read().await.expect_err("it is no frame");
+    // No payload follows: a frame of allowed length times out instead.
+    let error = reader.read().await.expect_err("the frame is incomplete");
     assert_eq!(matches!(error, LinkError::TooLong { .. }), refused);
 }
 
 #[test]
-fn a_frame_can_not_be_replayed_or_turned_round() {
-    let secret = store();
+fn a_frame_can_not_be_replayed_or_reflected() {
+    let secret = new_secret();
     let key = SessionKey::new(secret.clone(), [1; 16], [2; 16]);
-    let (epoch, proof) = key.prove(FrameWay::Forward, 3, b"payload");
-    let verify = |key: &SessionKey, way, sequence, payload: &[u8]| {
-        key.verify(way, sequence, payload, (epoch, &proof)).is_ok()
+    let (epoch, tag) = key.sign(FrameDirection::FromDialler, 3, b"payload");
+    let verify = |key: &SessionKey, direction, sequence, payload: &[u8]| {
+        key.verify(direction, sequence, payload, (epoch, &tag))
+            .is_ok()
     };
-    assert!(verify(&key, FrameWay::Forward, 3, b"payload"));
-    assert!(!verify(&key, FrameWay::Forward, 4, b"payload"));
-    assert!(!verify(&key, FrameWay::Back, 3, b"payload"));
-    assert!(!verify(&key, FrameWay::Forward, 3, b"other"));
+    assert!(verify(&key, FrameDirection::FromDialler, 3, b"payload"));
+    assert!(!verify(&key, FrameDirection::FromDialler, 4, b"payload"));
+    assert!(!verify(&key, FrameDirection::FromAcceptor, 3, b"payload"));
+    assert!(!verify(&key, FrameDirection::FromDialler, 3, b"other"));
     let other = SessionKey::new(secret, [1; 16], [9; 16]);
-    assert!(!verify(&other, FrameWay::Forward, 3, b"payload"));
+    assert!(!verify(&other, FrameDirection::FromDialler, 3, b"payload"));
 }
--- a/src/control/replica_shell/disk_writer.rs
+++ b/src/control/replica_shell/disk_writer.rs
@@ -13,51 +13,51 @@
     event::log_event,
 };
 
-/// The pause before a refused write or a refused start is tried again.
+/// Pause before a failed write or a failed start is tried again.
 const RETRY_MILLIS: SpanMillis = SpanMillis::new(200);
 
-/// Writes batches on a thread of its own, since a sync may take long.
+/// Writes batches on a thread of its own, because a sync may block for long.
 #[derive(Debug)]
 pub(super) struct DiskWriter {
     batches: mpsc::Sender<DiskBatch>,
 }
 
-/// What the writer reports: a synced batch, or the failure that ended it.
-pub(super) type SyncReport = Result<SyncToken, JournalError>;
+/// A synced batch, or the failure that ended the writer.
+pub(super) type SyncResult = Result<SyncToken, JournalError>;
 
-/// What a data folder held, or why it can't be used.
-type OpenReport = Result<RecoveredState, JournalError>;
+/// The content of the data folder, or why it can't be used.
+type OpenResult = Result<RecoveredState, JournalError>;
 
-/// The writer's ends that the replica's driver reads.
+/// Receivers of the writer's results, for the replica's driver.
 #[derive(Debug)]
 pub(super) struct DiskReports {
-    /// Tells once what the folder held.
-    pub(super) opened: oneshot::Receiver<OpenReport>,
-    /// Tells of each synced batch.
-    pub(super) synced: async_mpsc::UnboundedReceiver<SyncReport>,
+    /// Receives the content of the folder once.
+    pub(super) opened: oneshot::Receiver<OpenResult>,
+    /// Receives the token of each synced batch.
+    pub(super) synced: async_mpsc::UnboundedReceiver<SyncResult>,
 }
 
 impl DiskWriter {
-    /// Starts the thread, which opens the folder; it ends with the writer or,
-    /// unless it is to retry, at the first failure.
+    /// Starts the thread, which opens the folder. It ends when the writer is dropped
+    /// or, with `DiskFaultPolicy::Stop`, at the first failure.
     pub(super) fn start(
         folder: PathBuf,
         policy: DiskFaultPolicy,
     ) -> io::Result<(Self, DiskReports)> {
         let (batches, queue) = mpsc::channel();
-        // The core has one batch under way, so neither channel grows.
-        let (reports, synced) = async_mpsc::unbounded_channel();
-        let (open_report, opened) = oneshot::channel();
+        // The core issues one batch at a time, so neither channel grows.
+        let (result_sender, synced) = async_mpsc::unbounded_channel();
+        let (open_sender, opened) = oneshot::channel();
         let task = WriterTask { folder, policy };
         thread::Builder::new()
             .name("replica-disk".to_owned())
-            .spawn(move || task.run(open_report, &queue, &reports))?;
+            .spawn(move || task.run(open_sender, &queue, &result_sender))?;
         Ok((Self { batches }, DiskReports { opened, synced }))
     }
 
-    /// Hands over a batch.
+    /// Queues a batch.
     pub(super) fn write(&self, batch: DiskBatch) {
-        // A thread that has ended has reported its failure.
+        // If the thread has ended, it has already reported its failure.
         let _ = self.batches.send(batch);
     }
 }
@@ -70,33 +70,33 @@
 impl WriterTask {
     fn run(
         self,
-        open_report: oneshot::Sender<OpenReport>,
+        open_sender: oneshot::Sender<OpenResult>,
         queue: &mpsc::Receiver<DiskBatch>,
-        reports: &async_mpsc::UnboundedSender<SyncReport>,
+        result_sender: &async_mpsc::UnboundedSender<SyncResult>,
     ) {
         let mut journal = match self.open() {
             Ok((journal, recovered)) => {
-                if open_report.send(Ok(recovered)).is_err() {
+                if open_sender.send(Ok(recovered)).is_err() {
                     return;
                 }
                 journal
             }
             Err(error) => {
-                // A driver that is gone needs no report.
-                let _ = open_report.send(Err(error));
+                // The driver may have been dropped.
+                let _ = open_sender.send(Err(error));
                 return;
             }
         };
         for batch in queue {
-            let report = self.write(&mut journal, &batch).map(|()| batch.token);
-            let failed = report.is_err();
-            if reports.send(report).is_err() || failed {
+            let result = self.write(&mut journal, &batch).map(|()| batch.token);
+            let failed = result.is_err();
+            if result_sender.send(result).is_err() || failed {
                 return;
             }
         }
     }
 
-    /// Opens the folder, as often as the policy asks for.
+    /// Opens the folder; retries if the policy says so.
     fn open(&self) -> Result<(ReplicaJournal, RecoveredState), JournalError> {
         loop {
             let error = match ReplicaJournal::open(&self.folder, DiskId::new(rand::random())) {
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Writes a batch; a refused one is written as a whole again, which
-    /// replaces what of it had reached the disk.
+    /// Writes a batch. With `DiskFaultPolicy::Retry` a failed batch is written again
+    /// as a whole, which replaces the part that had reached the disk.
     fn write(&self, journal: &mut ReplicaJournal, batch: &DiskBatch) -> Result<(), JournalError> {
         let mut result = journal.write_batch(batch);
         let mut refusals = 0_u32;
--- a/src/control/replica_shell/replica_driver.rs
+++ b/src/control/replica_shell/replica_driver.rs
@@ -12,7 +12,7 @@
 
 use super::{
     PeerPorts, ReplicaHandle, ReplicaOptions, ReplicaShellError, ReplicatedState,
-    disk_writer::{DiskWriter, SyncReport},
+    disk_writer::{DiskWriter, SyncResult},
     replica_handle::{ProposalAnswer, ReadAnswer, ReplicaCommand, overloaded, too_large},
     report_log::log_report,
 };
@@ -32,15 +32,15 @@
     secret::SecretStore,
 };
 
-/// The calls that wait until the driver takes them.
+/// Most commands from calls that wait for the driver.
 const MAX_QUEUED_COMMANDS: usize = 8_192;
-/// The messages of other replicas that wait until the driver takes them.
+/// Most messages from other replicas that wait for the driver.
 const MAX_QUEUED_MESSAGES: usize = 64;
 
-/// A replica that runs; the task ends only with an error.
+/// A running replica; its task ends only with an error.
 #[derive(Debug)]
 pub(crate) struct RunningReplica {
-    /// Hands work to the replica.
+    /// Sends commands to the replica.
     pub(crate) handle: ReplicaHandle,
     /// The driver's task.
     pub(crate) task: JoinHandle<ReplicaShellError>,
@@ -50,8 +50,8 @@
 ///
 /// # Errors
 ///
-/// Fails when the folder is damaged or in use, or when the address for the
-/// other replicas can't be had.
+/// Fails when the folder is damaged or in use, or when the address for peer
+/// connections can't be bound.
 pub(crate) async fn start_replica(
     options: ReplicaOptions,
     state: ReplicatedState,
@@ -64,7 +64,12 @@
         .await
         .map_err(|_| ReplicaShellError::Ended)??;
     let clock = ProcessClock::new();
-    let core = ReplicaCore::new(options.places(), recovered, rand::random(), clock.now());
+    let core = ReplicaCore::new(
+        options.replica_peers(),
+        recovered,
+        rand::random(),
+        clock.now(),
+    );
     let (inbox, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
     if let Some(address) = options.listen {
         let listener = LinkListener::bind(address).await?;
@@ -75,13 +80,13 @@
         let sender = LinkSender::start(peer.replica, peer.link, secret.clone());
         (peer.replica, sender)
     });
-    let calls = options.peers.iter().map(|peer| (peer.replica, peer.calls));
+    let call_addresses = options.peers.iter().map(|peer| (peer.replica, peer.calls));
     let (commands, queue) = mpsc::channel(MAX_QUEUED_COMMANDS);
-    let (publisher, view) = watch::channel(core.view(clock.now()));
+    let (view_sender, view) = watch::channel(core.view(clock.now()));
     let handle = ReplicaHandle {
         commands,
         view,
-        calls: Arc::new(calls.collect()),
+        call_addresses: Arc::new(call_addresses.collect()),
         ports: options.ports,
         state: state.clone(),
     };
@@ -93,9 +98,9 @@
         secret: secret.clone(),
         ports: options.ports,
         handle: handle.clone(),
-        publisher,
+        view_sender,
         clock,
-        keys: 0,
+        last_key: 0,
         proposals: HashMap::new(),
         reads: HashMap::new(),
     };
@@ -109,16 +114,16 @@
     Ok(RunningReplica { handle, task })
 }
 
-/// What the driver waits for.
+/// The channels that the driver receives from.
 struct DriverInputs {
     commands: mpsc::Receiver<ReplicaCommand>,
     messages: mpsc::Receiver<PeerMessage>,
-    synced: mpsc::UnboundedReceiver<SyncReport>,
+    synced: mpsc::UnboundedReceiver<SyncResult>,
     /// Keeps `messages` open in a group of one.
     _inbox: mpsc::Sender<PeerMessage>,
 }
 
-/// Feeds the core and does what it asks for.
+/// Feeds events to the core and executes its actions.
 struct ReplicaDriver {
     core: ReplicaCore,
     state: ReplicatedState,
@@ -127,9 +132,9 @@
     ports: Option<PeerPorts>,
     links: BTreeMap<ReplicaId, LinkSender>,
     handle: ReplicaHandle,
-    publisher: watch::Sender<ReplicaView>,
+    view_sender: watch::Sender<ReplicaView>,
     clock: ProcessClock,
-    keys: u64,
+    last_key: u64,
     proposals: HashMap<ProposalKey, oneshot::Sender<ProposalAnswer>>,
     reads: HashMap<ReadKey, oneshot::Sender<ReadAnswer>>,
 }
@@ -142,40 +147,41 @@
             let event = tokio::select! {
                 _ = ticks.tick() => ReplicaEvent::Tick,
                 Some(message) = inputs.messages.recv() => ReplicaEvent::MessageReceived(message),
-                Some(report) = inputs.synced.recv() => match report {
+                Some(result) = inputs.synced.recv() => match result {
                     Ok(token) => ReplicaEvent::Synced { token },
                     Err(error) => return error.into(),
                 },
-                Some(command) = inputs.commands.recv() => self.accept(command),
+                Some(command) = inputs.commands.recv() => self.register_command(command),
                 else => return ReplicaShellError::Ended,
             };
-            let ticked = matches!(event, ReplicaEvent::Tick);
+            let is_tick = matches!(event, ReplicaEvent::Tick);
             if let Err(error) = self.handle(event) {
                 return error;
             }
-            self.publish(ticked);
+            self.publish(is_tick);
         }
     }
 
-    /// Notes who waits for a command; returns its event.
-    fn accept(&mut self, command: ReplicaCommand) -> ReplicaEvent {
-        self.keys += 1;
+    /// Registers the receiver of a command's answer; returns the event for the core.
+    fn register_command(&mut self, command: ReplicaCommand) -> ReplicaEvent {
+        self.last_key += 1;
         match command {
             ReplicaCommand::Propose { payload, answer } => {
-                let key = ProposalKey(self.keys);
+                let key = ProposalKey(self.last_key);
                 self.proposals.insert(key, answer);
                 ReplicaEvent::Proposed { key, payload }
             }
             ReplicaCommand::TransferLeadership => ReplicaEvent::LeadershipTransferRequested,
             ReplicaCommand::UpdatePeers { replicas } => {
                 let members = self.core.view(self.clock.now()).members;
-                let places = members.iter().map(|member| member.seat.replica);
-                let kept: Vec<ReplicaId> = places.chain(replicas.iter().copied()).collect();
-                self.prune_links(&kept);
+                let member_replicas = members.iter().map(|member| member.seat.replica);
+                let needed: Vec<ReplicaId> =
+                    member_replicas.chain(replicas.iter().copied()).collect();
+                self.prune_links(&needed);
                 ReplicaEvent::PeersDiscovered(replicas)
             }
             ReplicaCommand::Read { answer } => {
-                let key = ReadKey(self.keys);
+                let key = ReadKey(self.last_key);
                 self.reads.insert(key, answer);
                 ReplicaEvent::ReadRequested { key }
             }
@@ -186,13 +192,14 @@
         let actions = self.core.handle(event, self.clock.now());
         let mut outcomes = BTreeMap::new();
         for action in actions {
-            self.act(action, &mut outcomes)?;
+            self.execute(action, &mut outcomes)?;
         }
         Ok(())
     }
 
-    /// Does what the core asks for; `outcomes` holds what was just applied.
-    fn act(
+    /// Executes an action; `outcomes` collects the outcomes of applied changes for
+    /// the answers that follow them.
+    fn execute(
         &mut self,
         action: ReplicaAction,
         outcomes: &mut BTreeMap<LogIndex, Vec<u8>>,
@@ -221,8 +228,8 @@
         Ok(())
     }
 
-    /// Returns the link to a replica; one that is not listed is connected to
-    /// when its place is an address.
+    /// Returns the link to a replica. A replica that is not listed is connected to at
+    /// the address in its identifier, if the ports are known.
     fn link(&mut self, to: ReplicaId) -> Option<&LinkSender> {
         if let (Entry::Vacant(entry), Some(ports)) = (self.links.entry(to), self.ports) {
             let address = SocketAddrV4::new(to.address(), ports.link);
@@ -231,10 +238,11 @@
         self.links.get(&to)
     }
 
-    /// Drops the links to replicas that are neither members nor asked to join.
-    fn prune_links(&mut self, members: &[ReplicaId]) {
+    /// Drops the links that are not needed: to replicas that are neither members nor
+    /// to be asked for admission.
+    fn prune_links(&mut self, needed: &[ReplicaId]) {
         if self.ports.is_some() {
-            self.links.retain(|replica, _| members.contains(replica));
+            self.links.retain(|replica, _| needed.contains(replica));
         }
     }
 
@@ -259,7 +267,7 @@
             ProposalOutcome::Overloaded => Err(overloaded()),
             ProposalOutcome::TooLarge => Err(too_large()),
         };
-        // A caller that went away needs no answer.
+        // The caller may have gone away.
         let _ = answer.send(result);
     }
 
@@ -272,20 +280,22 @@
             ReadOutcome::Refused => Err(CallRefusal::NoQuorum),
             ReadOutcome::Overloaded => Err(overloaded()),
         };
-        // A caller that went away needs no answer.
+        // The caller may have gone away.
         let _ = answer.send(result);
     }
 
-    /// Shows the replica's state, at once when its part in the group changed.
-    fn publish(&self, ticked: bool) {
+    /// Publishes the replica's view on every tick, and at once when its role, term or
+    /// leader changes.
+    fn publish(&self, is_tick: bool) {
         let view = self.core.view(self.clock.now());
-        self.publisher.send_if_modified(|shown| {
-            let same =
-                shown.role == view.role && shown.term == view.term && shown.leader == view.leader;
-            if same && !ticked {
+        self.view_sender.send_if_modified(|published| {
+            let is_unchanged = published.role == view.role
+                && published.term == view.term
+                && published.leader == view.leader;
+            if is_unchanged && !is_tick {
                 return false;
             }
-            *shown = view;
+            *published = view;
             true
         });
     }
--- a/src/control/replica_shell/replica_handle.rs
+++ b/src/control/replica_shell/replica_handle.rs
@@ -16,56 +16,57 @@
     key::FeedRevision,
 };
 
-/// The time after which a proposal's outcome counts as unknown.
-const PROPOSAL_MILLIS: SpanMillis = SpanMillis::new(5_000);
-/// The time after which a read counts as not confirmed.
-const READ_MILLIS: SpanMillis = SpanMillis::new(2_000);
-/// How long a stopping leader tries to hand over.
-const HANDOVER_MILLIS: SpanMillis = SpanMillis::new(2_000);
-/// The pause between two tries to hand over.
-const HANDOVER_PAUSE_MILLIS: SpanMillis = SpanMillis::new(20);
-/// When a refused client may come back.
-const RETRY_MILLIS: SpanMillis = SpanMillis::new(200);
-
-/// What became of a proposal: the state machine's answer, or why there is none.
+/// Time after which the outcome of a proposal counts as unknown.
+const PROPOSAL_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(5_000);
+/// Time after which a read counts as not confirmed.
+const READ_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(2_000);
+/// How long a stopping leader tries to transfer its leadership.
+const TRANSFER_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(2_000);
+/// Pause between two attempts to transfer leadership.
+const TRANSFER_RETRY_MILLIS: SpanMillis = SpanMillis::new(20);
+/// When a refused client may retry.
+const RETRY_AFTER_MILLIS: SpanMillis = SpanMillis::new(200);
+
+/// The state machine's outcome of a proposal, or why there is none.
 pub(super) type ProposalAnswer = Result<Vec<u8>, CallRefusal>;
-/// Whether the state holds everything that was accepted before the read.
+/// Whether the state is confirmed to include every change acknowledged before the
+/// read.
 pub(super) type ReadAnswer = Result<(), CallRefusal>;
 
-/// What the calls want of the driver.
+/// A command from a call to the driver.
 #[derive(Debug)]
 pub(super) enum ReplicaCommand {
-    /// Commit and execute a change.
+    /// Commit and apply a change.
     Propose {
         payload: EntryPayload,
         answer: oneshot::Sender<ProposalAnswer>,
     },
     /// Confirm that the state is current.
     Read { answer: oneshot::Sender<ReadAnswer> },
-    /// Have another replica lead.
+    /// Transfer leadership to another replica.
     TransferLeadership,
-    /// Ask these places for admission.
+    /// Ask these replicas for admission.
     UpdatePeers { replicas: Vec<ReplicaId> },
 }
 
-/// Hands the calls' work to the replica; clones share it.
+/// Sends commands to the replica; clones share it.
 #[derive(Debug, Clone)]
 pub(crate) struct ReplicaHandle {
     pub(super) commands: mpsc::Sender<ReplicaCommand>,
     pub(super) view: watch::Receiver<ReplicaView>,
-    pub(super) calls: Arc<BTreeMap<ReplicaId, SocketAddrV4>>,
+    pub(super) call_addresses: Arc<BTreeMap<ReplicaId, SocketAddrV4>>,
     pub(super) ports: Option<PeerPorts>,
     pub(super) state: ReplicatedState,
 }
 
-/// Returns the refusal of a replica that has too much to do.
+/// Returns the refusal for a full queue.
 pub(super) fn overloaded() -> CallRefusal {
     CallRefusal::Overloaded {
-        retry_after_millis: RETRY_MILLIS.millis(),
+        retry_after_millis: RETRY_AFTER_MILLIS.millis(),
     }
 }
 
-/// Returns the refusal of a change that the log can't take.
+/// Returns the refusal for a change that exceeds `MAX_ENTRY_BYTES`.
 pub(super) fn too_large() -> CallRefusal {
     CallRefusal::InvalidManifest {
         faults: vec![format!("the change has more than {MAX_ENTRY_BYTES} bytes")],
@@ -73,66 +74,67 @@
 }
 
 impl ReplicaHandle {
-    /// Commits a change; returns the state machine's answer.
+    /// Commits a change; returns the state machine's outcome.
     ///
     /// # Errors
     ///
-    /// Refuses when it was not taken, or when its outcome is unknown.
+    /// Fails when the change is rejected or its outcome is unknown.
     pub(crate) async fn propose(&self, bytes: Vec<u8>) -> Result<Vec<u8>, CallRefusal> {
         let (answer, receiver) = oneshot::channel();
         let payload = EntryPayload::new(bytes);
         self.commands
             .try_send(ReplicaCommand::Propose { payload, answer })
             .map_err(|_| overloaded())?;
-        match timeout(PROPOSAL_MILLIS.duration(), receiver).await {
+        match timeout(PROPOSAL_TIMEOUT_MILLIS.duration(), receiver).await {
             Ok(Ok(outcome)) => outcome,
             Ok(Err(_)) | Err(_) => Err(CallRefusal::OutcomeUnknown),
         }
     }
 
-    /// Returns the revision of a state that holds everything accepted so far.
+    /// Returns the revision of a state that includes every change acknowledged so far.
     ///
     /// # Errors
     ///
-    /// Refuses when no majority confirms it in time.
+    /// Fails when no majority confirms it in time.
     pub(crate) async fn confirm_read(&self) -> Result<FeedRevision, CallRefusal> {
         let (answer, receiver) = oneshot::channel();
         self.commands
             .try_send(ReplicaCommand::Read { answer })
             .map_err(|_| overloaded())?;
-        match timeout(READ_MILLIS.duration(), receiver).await {
+        match timeout(READ_TIMEOUT_MILLIS.duration(), receiver).await {
             Ok(Ok(outcome)) => outcome.map(|()| self.state.revision()),
             Ok(Err(_)) | Err(_) => Err(CallRefusal::NoQuorum),
         }
     }
 
-    /// Has another replica lead before this one stops, if one can in time.
+    /// Transfers leadership before this replica stops, if another one can take it in
+    /// time.
     pub(crate) async fn step_aside(&self) {
-        if self.calls.is_empty() {
+        if self.call_addresses.is_empty() {
             return;
         }
-        let deadline = Instant::now() + HANDOVER_MILLIS.duration();
+        let deadline = Instant::now() + TRANSFER_TIMEOUT_MILLIS.duration();
         while matches!(self.lead(), LeadView::Leading { .. }) && Instant::now() < deadline {
-            // A driver that has ended leads no more.
+            // A driver that has ended no longer leads.
             let _ = self.commands.try_send(ReplicaCommand::TransferLeadership);
-            sleep(HANDOVER_PAUSE_MILLIS.duration()).await;
+            sleep(TRANSFER_RETRY_MILLIS.duration()).await;
         }
     }
 
-    /// Names the places to ask for admission while this replica is no voter.
+    /// Sets the replicas to ask for admission while this replica is no voter.
     pub(crate) fn meet_peers(&self, replicas: Vec<ReplicaId>) {
-        // A driver that is busy is told again.
+        // If the queue is full, a later update replaces this one.
         let _ = self
             .commands
             .try_send(ReplicaCommand::UpdatePeers { replicas });
     }
 
-    /// Returns the replica's view of the group.
+    /// Returns the latest published view.
     pub(crate) fn view(&self) -> ReplicaView {
         self.view.borrow().clone()
     }
 
-    /// Returns what this replica knows of the leader.
+    /// Returns whether this replica leads, or else the known leader's call address.
     pub(crate) fn lead(&self) -> LeadView {
         let view = self.view.borrow();
         match view.role {
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Returns the replicas of the group; `address` is this one's.
+    /// Returns the replicas of the group; `address` is this replica's call address.
     pub(crate) fn replicas(&self, address: SocketAddrV4) -> Vec<ReplicaStatus> {
         let view = self.view.borrow();
         let leader = view.leader.map(|member_id| member_id.disk);
@@ -168,16 +170,16 @@
                         self.call_address(replica)?
                     },
                     role,
-                    held: member.held.number(),
+                    held: member.match_index.number(),
                 })
             })
             .collect()
     }
 
-    /// Returns where a replica answers calls.
+    /// Returns the call address of a replica.
     pub(super) fn call_address(&self, replica: ReplicaId) -> Option<SocketAddrV4> {
-        let listed = self.calls.get(&replica).copied();
-        let found = |ports: PeerPorts| SocketAddrV4::new(replica.address(), ports.calls);
-        listed.or_else(|| self.ports.map(found))
+        let listed = self.call_addresses.get(&replica).copied();
+        let discovered = |ports: PeerPorts| SocketAddrV4::new(replica.address(), ports.calls);
+        listed.or_else(|| self.ports.map(discovered))
     }
 }
--- a/src/control/replica_shell/replica_options.rs
+++ b/src/control/replica_shell/replica_options.rs
@@ -2,58 +2,56 @@
 
 use crate::control::replica::{GroupAdmission, ReplicaId, ReplicaPeers};
 
-/// Where another replica is reached.
+/// The addresses of another replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct PeerAddress {
-    /// The place in the group.
     pub(crate) replica: ReplicaId,
-    /// Where it listens for other replicas.
+    /// Its address for peer connections.
     pub(crate) link: SocketAddrV4,
-    /// Where it answers calls.
+    /// Its address for calls.
     pub(crate) calls: SocketAddrV4,
 }
 
-/// The ports of replicas whose places are addresses.
+/// The ports of replicas that are identified by their address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct PeerPorts {
-    /// Where each listens for other replicas.
+    /// The port for peer connections.
     pub(crate) link: u16,
-    /// Where each answers calls.
+    /// The port for calls.
     pub(crate) calls: u16,
 }
 
-/// What a replica does when its disk refuses a write.
+/// What a replica does when its disk fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum DiskFaultPolicy {
-    /// It stops; an operator looks after it.
+    /// Stop; an operator has to intervene.
     Stop,
-    /// It tries again until the disk takes the write, and acknowledges nothing
-    /// meanwhile. A damaged folder counts as a lost disk.
+    /// Retry until the write succeeds, and acknowledge nothing until then. A damaged
+    /// data folder is deleted, as if the disk were lost.
     Retry,
 }
 
-/// What a replica needs to start.
+/// The configuration of a replica.
 #[derive(Debug, Clone)]
 pub(crate) struct ReplicaOptions {
-    /// The own place in the group.
+    /// This replica.
     pub(crate) own: ReplicaId,
-    /// Where to listen for other replicas, if there are any.
+    /// Address to listen on for peer connections, if there are other replicas.
     pub(crate) listen: Option<SocketAddrV4>,
     /// The other replicas.
     pub(crate) peers: Vec<PeerAddress>,
-    /// The ports of replicas that are not listed, where places are addresses.
+    /// The ports of unlisted replicas, if replicas are identified by their address.
     pub(crate) ports: Option<PeerPorts>,
-    /// The folder of the log.
+    /// The data folder.
     pub(crate) folder: PathBuf,
-    /// Who may join the group, and who may form it.
+    /// Which replicas may form and join the group.
     pub(crate) admission: GroupAdmission,
-    /// What to do when the disk refuses a write.
     pub(crate) disk_faults: DiskFaultPolicy,
 }
 
 impl ReplicaOptions {
-    /// Returns the places of the group.
-    pub(crate) fn places(&self) -> ReplicaPeers {
+    /// Returns this replica and its peers for the core.
+    pub(crate) fn replica_peers(&self) -> ReplicaPeers {
         ReplicaPeers {
             own: self.own,
             others: self.peers.iter().map(|peer| peer.replica).collect(),
