--- a/src/control/replica_shell/replicated_state.rs
+++ b/src/control/replica_shell/replicated_state.rs
@@ -4,17 +4,17 @@
     listener::ListenerStore,
 };
 
-/// The state machine behind a replicated log; each kind of deployment has one.
+/// The replicated state machine; each kind of deployment has its own.
 #[derive(Debug, Clone)]
 pub(crate) enum ReplicatedState {
-    /// Manifest, registrations and the feed of a deployment of agents.
+    /// Manifest, registrations and feed of a deployment with agents.
     Registry(StateHandle),
-    /// The listener routes of a deployment whose packets carry no route.
+    /// Listener routes of a deployment whose packets carry no route.
     Listeners(ListenerStore),
 }
 
 impl ReplicatedState {
-    /// Executes one committed command; returns its encoded outcome.
+    /// Applies a committed command; returns its encoded outcome.
     pub(super) fn apply(&self, command: &[u8]) -> Vec<u8> {
         match self {
             Self::Registry(state) => state.apply(command),
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Returns the state as bytes.
+    /// Encodes the state.
     pub(super) fn snapshot(&self) -> Result<Vec<u8>, StateError> {
         match self {
             Self::Registry(state) => state.snapshot(),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Takes over the state of a snapshot.
+    /// Replaces the state with an encoded one.
     pub(super) fn restore(&self, bytes: &[u8]) -> Result<(), StateError> {
         match self {
             Self::Registry(state) => state.restore(bytes),
@@ -38,7 +38,6 @@
         }
     }
 
-    /// Returns the revision of the state.
     pub(super) fn revision(&self) -> FeedRevision {
         match self {
             Self::Registry(state) => state.revision(),
--- a/src/control/replica_shell/report_log.rs
+++ b/src/control/replica_shell/report_log.rs
@@ -5,7 +5,7 @@
     event::log_event,
 };
 
-/// Logs and counts a change of the replica's state.
+/// Logs a state change of the replica and updates its metrics.
 pub(super) fn log_report(report: ReplicaReport) {
     match report {
         ReplicaReport::GroupFormed { group } => {
--- a/src/control/replica_shell/shell_error.rs
+++ b/src/control/replica_shell/shell_error.rs
@@ -12,18 +12,18 @@
     #[error(transparent)]
     #[diagnostic(transparent)]
     Journal(#[from] JournalError),
-    /// The other replicas can't be listened for.
+    /// Peer connections can't be accepted.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Link(#[from] LinkError),
-    /// A snapshot can't be written or read.
+    /// A snapshot can't be encoded or decoded.
     #[error(transparent)]
     #[diagnostic(transparent)]
     State(#[from] StateError),
-    /// The thread that writes to the disk can't be started.
-    #[error("cannot start a thread: {0}")]
+    /// The disk writer thread can't be started.
+    #[error("cannot start the disk writer thread: {0}")]
     Thread(#[source] io::Error),
-    /// A part of the replica ended before the others.
-    #[error("a part of the replica ended unexpectedly")]
+    /// A task or thread of the replica ended unexpectedly.
+    #[error("a task of the replica ended unexpectedly")]
     Ended,
 }
