--- a/src/control/replica/formation.rs
+++ b/src/control/replica/formation.rs
@@ -124,11 +124,11 @@
             && self.peers.admission.is_open()
             && message.to.is_none()
         {
-            let mut relayed = message.clone();
-            relayed.to = Some(leader.disk);
+            let mut forwarded = message.clone();
+            forwarded.to = Some(leader.disk);
             self.actions.push(ReplicaAction::Send {
                 to: leader.replica,
-                message: relayed,
+                message: forwarded,
             });
         }
     }
--- a/src/control/replica/hard_state.rs
+++ b/src/control/replica/hard_state.rs
@@ -32,7 +32,7 @@
 pub(crate) struct RecoveredState {
     /// Identity, term and vote.
     pub(crate) hard_state: HardState,
-    /// The newest snapshot.
+    /// The latest snapshot.
     pub(crate) snapshot: Option<GroupSnapshot>,
     /// The entries in order, without gaps.
     pub(crate) entries: Vec<LogEntry>,
--- a/src/control/replica/leader_state.rs
+++ b/src/control/replica/leader_state.rs
@@ -58,7 +58,7 @@
     /// When the next heartbeat is due.
     pub(crate) heartbeat_at: ClockMillis,
     /// Index of the no-op entry that starts this term.
-    pub(crate) first_index: LogIndex,
+    pub(crate) noop_index: LogIndex,
     /// Replicas that requested to join.
     pub(crate) join_requests: Vec<MemberId>,
     /// Learners that were made voters, and the index of the entry that did so.
@@ -76,7 +76,7 @@
             reads: VecDeque::new(),
             heartbeat_round: 0,
             heartbeat_at: now,
-            first_index: last_index.next(),
+            noop_index: last_index.next(),
             join_requests: Vec::new(),
             pending_promotions: Vec::new(),
         }
--- a/src/control/replica/limits.rs
+++ b/src/control/replica/limits.rs
@@ -5,7 +5,7 @@
 /// Interval between a leader's heartbeats.
 pub(crate) const HEARTBEAT_MILLIS: SpanMillis = SpanMillis::new(150);
 /// Shortest election timeout. A replica that heard from a leader more recently
-/// grants no vote.
+/// grants a vote only for a leadership transfer.
 pub(crate) const ELECTION_MIN_MILLIS: SpanMillis = SpanMillis::new(600);
 /// Longest election timeout. A leader that has not heard from a majority for
 /// this long steps down.
--- a/src/control/replica/membership.rs
+++ b/src/control/replica/membership.rs
@@ -32,15 +32,16 @@
 }
 
 impl ReplicaCore {
-    /// Appends the next membership change once the last one is committed.
+    /// Appends the next membership change once the last one and this term's no-op
+    /// entry are committed.
     pub(super) fn advance_membership(&mut self, now: ClockMillis) {
         self.report_completed_repairs();
         let CoreRole::Leader(leader) = &self.role else {
             return;
         };
-        let committed =
-            self.commit >= leader.first_index && self.log.members_index() <= self.commit;
-        if !committed {
+        let may_change =
+            self.commit >= leader.noop_index && self.log.members_index() <= self.commit;
+        if !may_change {
             return;
         }
         if let Some(change) = self.next_change(leader, now) {
@@ -138,10 +139,10 @@
                 self.send_heartbeats(now);
             }
             MemberChange::RemoveVoter(member_id) => {
-                self.report(ReplicaReport::VoterRemoved { member_id })
+                self.report(ReplicaReport::VoterRemoved { member_id });
             }
             MemberChange::PromoteLearner(member_id) => {
-                leader.pending_promotions.push((member_id, index))
+                leader.pending_promotions.push((member_id, index));
             }
         }
     }
--- a/src/control/replica/message_dispatch.rs
+++ b/src/control/replica/message_dispatch.rs
@@ -21,6 +21,8 @@
         }
     }
 
+    /// Returns whether the sender is in this replica's group. A replica without a
+    /// group joins the group of a message that is addressed to its data folder.
     fn check_group(&mut self, message: &PeerMessage) -> bool {
         match (self.hard_state.group, message.group) {
             (Some(own_group), Some(sender_group)) if own_group == sender_group => true,
@@ -67,7 +69,7 @@
                 }
             }
             PeerBody::HeartbeatResponse { round } => {
-                self.handle_heartbeat_response(from.disk, round, now)
+                self.handle_heartbeat_response(from.disk, round, now);
             }
             PeerBody::AppendEntries {
                 previous_index,
@@ -81,7 +83,7 @@
             }
             PeerBody::TimeoutNow => self.handle_timeout_now(from, now),
             PeerBody::AppendAccepted { match_index } => {
-                self.handle_append_accepted(from.disk, match_index, now)
+                self.handle_append_accepted(from.disk, match_index, now);
             }
             PeerBody::AppendRejected {
                 previous_index,
@@ -96,7 +98,7 @@
                 self.handle_chunk_response(from.disk, index, received, now);
             }
             PeerBody::ReadIndexRequest { sequence } => {
-                self.handle_read_index_request(from, sequence, now)
+                self.handle_read_index_request(from, sequence, now);
             }
             PeerBody::ReadIndexResponse { sequence, index } => {
                 self.handle_read_index_response(sequence, index, now);
--- a/src/control/replica/peer_progress.rs
+++ b/src/control/replica/peer_progress.rs
@@ -51,8 +51,8 @@
 
     /// Returns whether sent entries or chunks are unacknowledged.
     pub(crate) fn has_unacknowledged(&self) -> bool {
-        let streaming = matches!(self.phase, ProgressPhase::Pipelining);
-        self.messages_in_flight > 0 || (streaming && self.match_index.next() < self.next_index)
+        let pipelining = matches!(self.phase, ProgressPhase::Pipelining);
+        self.messages_in_flight > 0 || (pipelining && self.match_index.next() < self.next_index)
     }
 
     /// Records that the member's log is synced and equal up to `match_index`.
@@ -62,7 +62,7 @@
         self.next_index = self.next_index.max(self.match_index.next());
         match &self.phase {
             ProgressPhase::Pipelining => {
-                self.messages_in_flight = self.messages_in_flight.saturating_sub(1)
+                self.messages_in_flight = self.messages_in_flight.saturating_sub(1);
             }
             ProgressPhase::SendingSnapshot { snapshot, .. }
                 if snapshot.index > self.match_index => {}
--- a/src/control/replica/reads.rs
+++ b/src/control/replica/reads.rs
@@ -1,6 +1,6 @@
 //! Read index: a read is confirmed when a majority answers a heartbeat that was
-//! sent after the read was requested, so that no newer leader had committed
-//! anything by then.
+//! sent after the read was requested. A newer leader can't have committed anything
+//! before the request then.
 
 use super::{
     DiskId, LogIndex, MemberId, PeerBody, ReadKey, ReadOutcome, ReplicaAction, ReplicaCore,
@@ -47,7 +47,7 @@
             self.refuse_read(source, ReadOutcome::Overloaded);
             return;
         }
-        if index < leader.first_index {
+        if index < leader.noop_index {
             // The commit index of earlier leaders is not known yet.
             self.refuse_read(source, ReadOutcome::Refused);
             return;
--- a/src/control/replica/replica_action.rs
+++ b/src/control/replica/replica_action.rs
@@ -76,7 +76,7 @@
     },
 }
 
-/// An output of the replica's state machine, to be executed by the shell.
+/// An output of the replica core, to be executed by the shell.
 #[derive(Debug, Clone)]
 pub(crate) enum ReplicaAction {
     /// Send a message to a peer; it may be lost.
--- a/src/control/replica/replica_core.rs
+++ b/src/control/replica/replica_core.rs
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Returns the identity of this replica and its data folder.
+    /// Returns the member that this replica is on its data folder.
     pub(super) fn member_id(&self) -> MemberId {
         MemberId {
             replica: self.peers.own,
--- a/src/control/replica/replica_event.rs
+++ b/src/control/replica/replica_event.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ReadKey(pub(crate) u64);
 
-/// An input of the replica's state machine.
+/// An input of the replica core.
 #[derive(Debug, Clone)]
 pub(crate) enum ReplicaEvent {
     /// Time has passed; due every `TICK_MILLIS`.
--- a/src/control/replica/replica_view.rs
+++ b/src/control/replica/replica_view.rs
@@ -21,7 +21,6 @@
 /// The state of a replica as shown to the rest of the process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ReplicaView {
-    /// This replica's identity.
     pub(crate) seat: MemberId,
     /// Its group, if any.
     pub(crate) group: Option<GroupId>,
@@ -34,12 +33,11 @@
     pub(crate) commit: LogIndex,
     /// Index of the last applied entry.
     pub(crate) applied: LogIndex,
-    /// Index of the last entry.
-    pub(crate) last: LogIndex,
+    pub(crate) last_index: LogIndex,
     /// Index of the last synced entry.
-    pub(crate) durable: LogIndex,
-    /// Last index included in the latest snapshot.
-    pub(crate) snapshot: LogIndex,
+    pub(crate) durable_index: LogIndex,
+    /// Last index included in the latest snapshot, zero without one.
+    pub(crate) snapshot_index: LogIndex,
     /// The latest members in the log, committed or not.
     pub(crate) members: Vec<MemberView>,
     /// Whether these members are committed.
@@ -60,9 +58,9 @@
             leader: self.leader,
             commit: self.commit,
             applied: self.applied,
-            last: self.log.last_index(),
-            durable: self.disk.durable_index(),
-            snapshot: self.log.snapshot_index(),
+            last_index: self.log.last_index(),
+            durable_index: self.disk.durable_index(),
+            snapshot_index: self.log.snapshot_index(),
             members: self.member_views(now),
             members_committed: self.log.members_index() <= self.commit,
             caught_up: self.leader.is_some()
--- a/src/control/replica/tests/measures.rs
+++ b/src/control/replica/tests/measures.rs
@@ -75,7 +75,7 @@
             simulator.run(STEP_MILLIS);
         }
         println!(
-            "{MISSED_ENTRIES} missed changes caught up by {name}: {} messages, {} bytes both ways, {} ms",
+            "{MISSED_ENTRIES} missed changes by {name}: {} messages, {} bytes both ways, {} ms",
             simulator.messages,
             simulator.bytes,
             simulator.now.since(start).millis(),
--- a/src/control/replica/tests/scenarios.rs
+++ b/src/control/replica/tests/scenarios.rs
@@ -27,9 +27,9 @@
 }
 
 fn completed_repairs(simulator: &GroupSimulator) -> usize {
-    let done = |report: &ReplicaReport| matches!(report, ReplicaReport::RepairDone { .. });
+    let repair_done = |report: &ReplicaReport| matches!(report, ReplicaReport::RepairDone { .. });
     let reports = simulator.history.reports.iter();
-    reports.filter(|(_, report)| done(report)).count()
+    reports.filter(|(_, report)| repair_done(report)).count()
 }
 
 #[rstest]
@@ -157,13 +157,13 @@
     );
     assert_eq!(simulator.history.read_outcomes[&read], ReadOutcome::Refused);
     assert_eq!(completed_repairs(&simulator), 0);
-    let lost = |report: &ReplicaReport| matches!(report, ReplicaReport::QuorumLost { .. });
+    let quorum_lost = |report: &ReplicaReport| matches!(report, ReplicaReport::QuorumLost { .. });
     assert!(
         simulator
             .history
             .reports
             .iter()
-            .any(|(_, report)| lost(report))
+            .any(|(_, report)| quorum_lost(report))
     );
     simulator.assert_applied_all_acknowledged(leader);
 }
@@ -208,7 +208,7 @@
     simulator.assert_applied_all_acknowledged(lagging);
     let view = simulator.view(lagging).expect("it runs");
     assert_eq!(view.role, ReplicaRole::Follower);
-    assert!(view.snapshot.number() > 50);
+    assert!(view.snapshot_index.number() > 50);
 }
 
 #[test]
@@ -262,12 +262,13 @@
     }
     simulator.restart(learner);
     simulator.run(SETTLE_MILLIS);
-    let admitted = |report: &ReplicaReport| matches!(report, ReplicaReport::LearnerAdded { .. });
+    let learner_added =
+        |report: &ReplicaReport| matches!(report, ReplicaReport::LearnerAdded { .. });
     let reports = &simulator.history.reports;
     assert!(
         reports
             .iter()
-            .any(|(node, report)| *node == old_leader && admitted(report))
+            .any(|(node, report)| *node == old_leader && learner_added(report))
     );
     simulator.heal();
     simulator.run(SpanMillis::new(8_000));
--- a/src/control/replica/tests/single_core.rs
+++ b/src/control/replica/tests/single_core.rs
@@ -10,7 +10,7 @@
 };
 
 const GROUP: GroupId = GroupId::new(1);
-const LATER_MILLIS: SpanMillis = SpanMillis::new(5_000);
+const PAST_ELECTION_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(5_000);
 
 /// One replica of three; the test plays its peers.
 struct SingleCore {
@@ -61,7 +61,7 @@
         };
         Self {
             core: ReplicaCore::new(peers, recovered, 5, ClockMillis::ORIGIN),
-            now: ClockMillis::ORIGIN.after(LATER_MILLIS),
+            now: ClockMillis::ORIGIN.after(PAST_ELECTION_TIMEOUT_MILLIS),
         }
     }
 
@@ -125,11 +125,11 @@
 fn an_entry_of_an_earlier_term_is_committed_only_with_one_of_the_current_term() {
     let mut single = SingleCore::new();
     single.become_leader();
-    let held = |index| PeerBody::AppendAccepted {
+    let accepted_up_to = |index| PeerBody::AppendAccepted {
         match_index: LogIndex::new(index),
     };
-    assert_eq!(applied(&single.receive(2, 2, held(2))), 0);
-    assert_eq!(applied(&single.receive(2, 2, held(3))), 1);
+    assert_eq!(applied(&single.receive(2, 2, accepted_up_to(2))), 0);
+    assert_eq!(applied(&single.receive(2, 2, accepted_up_to(3))), 1);
 }
 
 #[test]
--- a/src/control/replica/tests/test_node.rs
+++ b/src/control/replica/tests/test_node.rs
@@ -40,7 +40,9 @@
             self.disk.snapshot = Some(snapshot);
         }
         for entry in batch.entries.into_iter().take(max_entries) {
-            self.disk.entries.retain(|held| held.index < entry.index);
+            self.disk
+                .entries
+                .retain(|earlier| earlier.index < entry.index);
             self.disk.entries.push(entry);
         }
     }
--- a/src/control/replica_shell/mod.rs
+++ b/src/control/replica_shell/mod.rs
@@ -1,5 +1,5 @@
-//! Runs a replica: feeds events to the state machine, executes its actions on disk
-//! and network, and answers the calls that need the log.
+//! Runs a replica: feeds events to the core, executes its actions on disk and
+//! network, and answers the calls that need the log.
 
 mod disk_writer;
 mod replica_driver;
--- a/src/control/replica_shell/replica_handle.rs
+++ b/src/control/replica_shell/replica_handle.rs
@@ -59,7 +59,7 @@
     pub(super) state: ReplicatedState,
 }
 
-/// Returns the refusal for a full queue.
+/// Returns the refusal of an overloaded replica.
 pub(super) fn overloaded() -> CallRefusal {
     CallRefusal::Overloaded {
         retry_after_millis: RETRY_AFTER_MILLIS.millis(),
@@ -157,14 +157,14 @@
         members
             .filter_map(|member| {
                 let replica = member.seat.replica;
-                let own = replica == view.seat.replica;
+                let is_own = replica == view.seat.replica;
                 let role = match member.voting_status {
                     _ if leader == Some(member.seat.disk) => ReplicaRole::Leader,
                     VotingStatus::Voter => ReplicaRole::Follower,
                     VotingStatus::Learner => ReplicaRole::Learner,
                 };
                 Some(ReplicaStatus {
-                    address: if own {
+                    address: if is_own {
                         address
                     } else {
                         self.call_address(replica)?
