--- a/src/control/replica_link/link_error.rs
+++ b/src/control/replica_link/link_error.rs
@@ -22,7 +22,7 @@
     #[error("the other replica did not respond in time")]
     TimedOut,
     /// A frame is longer than allowed at this point.
-    #[error("a frame has {length} bytes, more than the allowed {allowed}")]
+    #[error("a frame has {length} bytes; allowed: at most {allowed}")]
     TooLong {
         /// The length of the payload.
         length: usize,
