--- a/src/control/replica/group_members.rs
+++ b/src/control/replica/group_members.rs
@@ -14,7 +14,9 @@
 /// One member of the group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct GroupMember {
+    #[serde(rename = "seat")]
     pub(crate) id: MemberId,
+    #[serde(rename = "vote")]
     pub(crate) voting_status: VotingStatus,
 }
 
--- a/src/control/replica/peer_message.rs
+++ b/src/control/replica/peer_message.rs
@@ -20,17 +20,25 @@
 }
 
 /// The content of a peer message.
+///
+/// The `rename` attributes keep the serialized names of earlier releases; postcard
+/// does not write names.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum PeerBody {
     /// Asks for admission to the group.
+    #[serde(rename = "JoinAsked")]
     JoinRequest,
     /// Answers a join request: the sender's disk is empty, too.
+    #[serde(rename = "JoinEmpty")]
     EmptyDiskResponse,
     /// Raft's `RequestVote`.
+    #[serde(rename = "VoteAsked")]
     VoteRequest {
         /// Whether this is a pre-vote, which changes no term and binds no vote.
+        #[serde(rename = "trial")]
         pre_vote: bool,
         /// Whether the leader started the election to transfer its leadership.
+        #[serde(rename = "urged")]
         leadership_transfer: bool,
         /// Index of the candidate's last entry.
         last_index: LogIndex,
@@ -38,8 +46,10 @@
         last_term: TermNumber,
     },
     /// Answers a vote request.
+    #[serde(rename = "VoteGiven")]
     VoteResponse {
         /// Whether the request was a pre-vote.
+        #[serde(rename = "trial")]
         pre_vote: bool,
         /// Whether the vote is granted.
         granted: bool,
@@ -52,11 +62,13 @@
         round: u64,
     },
     /// Answers a heartbeat.
+    #[serde(rename = "HeartbeatHeard")]
     HeartbeatResponse {
         /// The round of the heartbeat.
         round: u64,
     },
     /// Raft's `AppendEntries`.
+    #[serde(rename = "Append")]
     AppendEntries {
         /// Index of the entry before `entries`.
         previous_index: LogIndex,
@@ -68,11 +80,14 @@
         entries: Vec<LogEntry>,
     },
     /// The log up to `match_index` equals the leader's and is synced.
+    #[serde(rename = "AppendHeld")]
     AppendAccepted {
         /// The last entry that equals the leader's.
+        #[serde(rename = "matched")]
         match_index: LogIndex,
     },
     /// The receiver lacks the entry before the appended ones.
+    #[serde(rename = "AppendRefused")]
     AppendRejected {
         /// Index of the missing entry.
         previous_index: LogIndex,
@@ -95,6 +110,7 @@
         bytes: EntryPayload,
     },
     /// Acknowledges the chunks received so far.
+    #[serde(rename = "SnapshotHeld")]
     SnapshotChunkResponse {
         /// Index of the snapshot's last included entry.
         index: LogIndex,
@@ -102,11 +118,13 @@
         received: u64,
     },
     /// A follower asks for a read index.
+    #[serde(rename = "ReadAsked")]
     ReadIndexRequest {
         /// Echoed in the response.
         sequence: u64,
     },
     /// The leader's read index, if it could confirm its leadership.
+    #[serde(rename = "ReadAnswered")]
     ReadIndexResponse {
         /// The sequence number of the request.
         sequence: u64,
@@ -115,7 +133,9 @@
     },
     /// Raft's `TimeoutNow`: the leader transfers its leadership, so the receiver
     /// starts an election at once.
+    #[serde(rename = "LeadUrged")]
     TimeoutNow,
     /// The message that this answers had an outdated term.
+    #[serde(rename = "TermPassed")]
     StaleTerm,
 }
--- a/src/control/replica_link/frame_codec.rs
+++ b/src/control/replica_link/frame_codec.rs
@@ -13,6 +13,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum FrameContent {
     /// Shows that the sender is alive.
+    #[serde(rename = "Alive")]
     KeepAlive,
     /// A message for the receiving replica.
     Message(PeerMessage),
