--- a/src/control/replica/election.rs
+++ b/src/control/replica/election.rs
@@ -1,8 +1,8 @@
-//! Elections: trial votes first, so that a replica that was cut off does not
-//! depose a leader that a majority hears.
+//! Elections with pre-vote, so that a replica that was partitioned away does not
+//! depose a leader that a majority hears from, and with check-quorum.
 
 use super::{
-    DiskId, EntryBody, LogIndex, PeerBody, ReplicaCore, ReplicaReport, ReplicaSeat, TermNumber,
+    DiskId, EntryBody, LogIndex, MemberId, PeerBody, ReplicaCore, ReplicaReport, TermNumber,
     candidate_state::{CandidateState, CoreRole},
     leader_state::LeaderState,
     limits::{ELECTION_MAX_MILLIS, ELECTION_MIN_MILLIS},
@@ -10,43 +10,43 @@
 use crate::clock::ClockMillis;
 
 impl ReplicaCore {
-    /// Asks whether an election could be won, without a new term.
-    pub(super) fn start_trial(&mut self, now: ClockMillis) {
+    /// Starts a pre-vote: asks for support without starting a new term.
+    pub(super) fn start_pre_vote(&mut self, now: ClockMillis) {
         self.leader = None;
         if !self.log.members().is_voter(self.hard_state.disk) {
-            self.reset_election(now);
+            self.reset_election_timer(now);
             return;
         }
-        self.reset_retry(now);
+        self.schedule_election_retry(now);
         self.role = CoreRole::Candidate(CandidateState::new(self.hard_state.disk, true));
-        self.ask_votes(true, false, self.hard_state.term.next());
+        self.request_votes(true, false, self.hard_state.term.next());
         self.count_votes(now);
     }
 
-    /// Asks for votes in a new term.
-    pub(super) fn start_election(&mut self, urged: bool, now: ClockMillis) {
+    /// Starts an election in a new term.
+    pub(super) fn start_election(&mut self, leadership_transfer: bool, now: ClockMillis) {
         self.hard_state.term = self.hard_state.term.next();
         self.hard_state.voted_for = Some(self.hard_state.disk);
         self.disk.save_hard_state(self.hard_state);
         self.role = CoreRole::Candidate(CandidateState::new(self.hard_state.disk, false));
-        self.reset_retry(now);
-        self.ask_votes(false, urged, self.hard_state.term);
+        self.schedule_election_retry(now);
+        self.request_votes(false, leadership_transfer, self.hard_state.term);
         self.count_votes(now);
     }
 
-    fn ask_votes(&mut self, trial: bool, urged: bool, term: TermNumber) {
-        let voters: Vec<ReplicaSeat> = self.log.members().voters().collect();
-        for seat in voters {
-            if seat.disk == self.hard_state.disk {
+    fn request_votes(&mut self, pre_vote: bool, leadership_transfer: bool, term: TermNumber) {
+        let voters: Vec<MemberId> = self.log.members().voters().collect();
+        for member_id in voters {
+            if member_id.disk == self.hard_state.disk {
                 continue;
             }
-            let body = PeerBody::VoteAsked {
-                trial,
-                urged,
+            let body = PeerBody::VoteRequest {
+                pre_vote,
+                leadership_transfer,
                 last_index: self.log.last_index(),
                 last_term: self.log.last_term(),
             };
-            self.send_synced_in(term, seat, body);
+            self.send_after_sync_in(term, member_id, body);
         }
     }
 
@@ -62,7 +62,7 @@
         {
             return;
         }
-        if candidate.trial {
+        if candidate.pre_vote {
             self.start_election(false, now);
         } else {
             self.become_leader(now);
@@ -73,58 +73,59 @@
         let term = self.hard_state.term;
         let last_index = self.log.last_index();
         let mut leader = LeaderState::new(term, last_index, now);
-        leader.sync_members(self.log.members(), self.hard_state.disk, last_index, now);
+        leader.update_members(self.log.members(), self.hard_state.disk, last_index, now);
         self.role = CoreRole::Leader(Box::new(leader));
-        self.leader = Some(self.seat());
+        self.leader = Some(self.member_id());
         self.report(ReplicaReport::LeaderElected { term });
-        self.append_own(EntryBody::Empty);
-        self.send_round(now);
+        self.append_entry(EntryBody::Empty);
+        self.send_heartbeats(now);
     }
 
-    /// Answers a request for a vote.
-    pub(super) fn answer_vote(
+    /// Answers a vote or pre-vote request; `last` is the candidate's last entry.
+    pub(super) fn handle_vote_request(
         &mut self,
-        from: ReplicaSeat,
-        trial: bool,
+        from: MemberId,
+        pre_vote: bool,
         term: TermNumber,
         last: (TermNumber, LogIndex),
         now: ClockMillis,
     ) {
-        let current = last >= (self.log.last_term(), self.log.last_index());
-        if trial {
-            let granted = current && term > self.hard_state.term;
-            self.send_synced_in(term, from, PeerBody::VoteGiven { trial, granted });
+        let up_to_date = last >= (self.log.last_term(), self.log.last_index());
+        if pre_vote {
+            let granted = up_to_date && term > self.hard_state.term;
+            self.send_after_sync_in(term, from, PeerBody::VoteResponse { pre_vote, granted });
             return;
         }
-        let free = match self.hard_state.voted_for {
+        let may_vote = match self.hard_state.voted_for {
             None => true,
             Some(disk) => disk == from.disk,
         };
-        let granted = current && free;
+        let granted = up_to_date && may_vote;
         if granted {
             self.hard_state.voted_for = Some(from.disk);
             self.disk.save_hard_state(self.hard_state);
-            self.reset_election(now);
+            self.reset_election_timer(now);
         }
-        self.send_synced_in(term, from, PeerBody::VoteGiven { trial, granted });
+        self.send_after_sync_in(term, from, PeerBody::VoteResponse { pre_vote, granted });
     }
 
-    /// Returns whether a leader was heard so lately that no vote is given.
-    pub(super) fn hears_leader(&self, now: ClockMillis) -> bool {
+    /// Returns whether a leader was heard from within the shortest election timeout,
+    /// or is this replica. Votes are then granted only for a leadership transfer.
+    pub(super) fn has_recent_leader(&self, now: ClockMillis) -> bool {
         match self.role {
             CoreRole::Leader(_) => true,
             CoreRole::Candidate(_) => false,
             CoreRole::Follower => {
-                self.leader.is_some() && now.since(self.leader_heard_at) < ELECTION_MIN_MILLIS
+                self.leader.is_some() && now.since(self.leader_contact_at) < ELECTION_MIN_MILLIS
             }
         }
     }
 
-    /// Counts a vote for this candidate.
-    pub(super) fn take_vote(
+    /// Counts a granted vote or pre-vote, unless it is for another election.
+    pub(super) fn handle_vote_response(
         &mut self,
         from: DiskId,
-        trial: bool,
+        pre_vote: bool,
         term: TermNumber,
         now: ClockMillis,
     ) {
@@ -132,47 +133,47 @@
         let CoreRole::Candidate(candidate) = &mut self.role else {
             return;
         };
-        let asked = if trial { own_term.next() } else { own_term };
-        if candidate.trial != trial || term != asked {
+        let requested_term = if pre_vote { own_term.next() } else { own_term };
+        if candidate.pre_vote != pre_vote || term != requested_term {
             return;
         }
         candidate.votes.insert(from);
         self.count_votes(now);
     }
 
-    /// Steps down when a majority has not been heard for a whole election.
+    /// Check-quorum: steps down without contact from a majority for the longest
+    /// election timeout.
     pub(super) fn check_quorum(&mut self, now: ClockMillis) {
         let CoreRole::Leader(leader) = &self.role else {
             return;
         };
         let own = self.hard_state.disk;
-        let heard = |disk: DiskId| {
+        let is_responsive = |disk: DiskId| {
             disk == own
-                || leader
-                    .progress
-                    .get(&disk)
-                    .is_some_and(|progress| now.since(progress.heard_at) < ELECTION_MAX_MILLIS)
+                || leader.progress.get(&disk).is_some_and(|progress| {
+                    now.since(progress.last_contact_at) < ELECTION_MAX_MILLIS
+                })
         };
-        if self.log.members().has_majority(heard) {
+        if self.log.members().has_majority(is_responsive) {
             return;
         }
-        if let Some(term) = self.resign() {
+        if let Some(term) = self.step_down() {
             self.report(ReplicaReport::QuorumLost { term });
         }
-        self.reset_election(now);
+        self.reset_election_timer(now);
     }
 
-    /// Stops leading or running for votes; returns the term that was led.
+    /// Stops leading or being a candidate; returns the term that was led.
     ///
-    /// Every proposal that waits is answered as unknown, every read is refused.
-    pub(super) fn resign(&mut self) -> Option<TermNumber> {
+    /// Pending proposals are answered as unknown, pending reads are refused.
+    pub(super) fn step_down(&mut self) -> Option<TermNumber> {
         let role = std::mem::replace(&mut self.role, CoreRole::Follower);
         let CoreRole::Leader(leader) = role else {
             return None;
         };
         self.leader = None;
         let term = leader.term;
-        self.abandon(*leader);
+        self.fail_pending(*leader);
         Some(term)
     }
 }
--- a/src/control/replica/leader_state.rs
+++ b/src/control/replica/leader_state.rs
@@ -1,23 +1,23 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use super::{
-    DiskId, GroupMembers, LogIndex, ProposalKey, ReadKey, ReplicaSeat, TermNumber,
+    DiskId, GroupMembers, LogIndex, MemberId, ProposalKey, ReadKey, TermNumber,
     peer_progress::PeerProgress,
 };
 use crate::clock::ClockMillis;
 
-/// A proposal that waits for its commit.
+/// A proposal that waits to be committed.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PendingProposal {
-    /// Its place in the log.
+    /// Its index in the log.
     pub(crate) index: LogIndex,
-    /// Names it in its answer.
+    /// Correlates the answer.
     pub(crate) key: ProposalKey,
-    /// Its bytes.
+    /// Size of its payload.
     pub(crate) bytes: usize,
 }
 
-/// Who waits for the confirmation of a read.
+/// Where a read came from.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum ReadSource {
     /// A client of this replica.
@@ -25,67 +25,65 @@
     /// A follower.
     Follower {
         /// The follower.
-        seat: ReplicaSeat,
-        /// The follower's name for the read.
+        member_id: MemberId,
+        /// The follower's number of the request.
         sequence: u64,
     },
 }
 
-/// A read that waits until a majority has answered a heartbeat round.
+/// A read that waits until a majority answers a heartbeat round.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PendingRead {
     /// The round that confirms it.
     pub(crate) round: u64,
-    /// What was committed when it was asked for.
+    /// The read index: the commit index when the read was requested.
     pub(crate) index: LogIndex,
-    /// Who waits.
     pub(crate) source: ReadSource,
 }
 
-/// What only a leader keeps.
+/// State that only a leader has.
 #[derive(Debug)]
 pub(crate) struct LeaderState {
-    /// The term that it leads.
     pub(crate) term: TermNumber,
-    /// Every other member.
+    /// The replication state of every other member.
     pub(crate) progress: BTreeMap<DiskId, PeerProgress>,
-    /// Proposals in the order of the log.
+    /// Proposals in log order.
     pub(crate) proposals: VecDeque<PendingProposal>,
-    /// The bytes of these proposals.
-    pub(crate) proposal_bytes: usize,
-    /// Reads in the order of their rounds.
+    /// Size of the payloads of `proposals`.
+    pub(crate) pending_bytes: usize,
+    /// Reads in the order of their heartbeat rounds.
     pub(crate) reads: VecDeque<PendingRead>,
-    /// The newest heartbeat round that was sent.
-    pub(crate) round: u64,
-    /// When the next round is due.
+    /// The latest heartbeat round that was sent.
+    pub(crate) heartbeat_round: u64,
+    /// When the next heartbeat is due.
     pub(crate) heartbeat_at: ClockMillis,
-    /// The empty entry of this term.
-    pub(crate) first_index: LogIndex,
-    /// Replicas that asked to join.
-    pub(crate) joiners: Vec<ReplicaSeat>,
-    /// Repaired replicas and the entry that made them count.
-    pub(crate) repairs: Vec<(ReplicaSeat, LogIndex)>,
+    /// Index of the no-op entry that starts this term.
+    pub(crate) noop_index: LogIndex,
+    /// Replicas that requested to join.
+    pub(crate) join_requests: Vec<MemberId>,
+    /// Learners that were made voters, and the index of the entry that did so.
+    pub(crate) pending_promotions: Vec<(MemberId, LogIndex)>,
 }
 
 impl LeaderState {
-    /// Creates the state of a leader whose log ends at `last_index`.
+    /// Creates the state of a new leader whose log ends at `last_index`.
     pub(crate) fn new(term: TermNumber, last_index: LogIndex, now: ClockMillis) -> Self {
         Self {
             term,
             progress: BTreeMap::new(),
             proposals: VecDeque::new(),
-            proposal_bytes: 0,
+            pending_bytes: 0,
             reads: VecDeque::new(),
-            round: 0,
+            heartbeat_round: 0,
             heartbeat_at: now,
-            first_index: last_index.next(),
-            joiners: Vec::new(),
-            repairs: Vec::new(),
+            noop_index: last_index.next(),
+            join_requests: Vec::new(),
+            pending_promotions: Vec::new(),
         }
     }
 
-    /// Follows a change of the members.
-    pub(crate) fn sync_members(
+    /// Applies a membership change: tracks new members, forgets removed ones.
+    pub(crate) fn update_members(
         &mut self,
         members: &GroupMembers,
         own: DiskId,
@@ -95,14 +93,14 @@
         self.progress
             .retain(|disk, _| members.find(*disk).is_some());
         for member in members.list() {
-            let disk = member.seat.disk;
+            let disk = member.id.disk;
             if disk != own {
                 self.progress
                     .entry(disk)
                     .or_insert_with(|| PeerProgress::new(last_index, now));
             }
         }
-        self.joiners
-            .retain(|seat| members.find(seat.disk).is_none());
+        self.join_requests
+            .retain(|member_id| members.find(member_id.disk).is_none());
     }
 }
--- a/src/control/replica/membership.rs
+++ b/src/control/replica/membership.rs
@@ -1,44 +1,47 @@
-//! Membership: one change at a time, each an entry of the log.
+//! Membership changes, one at a time, each a log entry.
 //!
-//! A replica with a new data folder joins as a learner. Once it holds all that
-//! is committed, the folder that it replaces stops counting, then it counts.
+//! A replica with a new data folder joins as a learner. Once it has all committed
+//! entries, the data folder that it replaces is removed, then the learner becomes
+//! a voter.
 
 use super::{
-    DiskId, EntryBody, GroupAdmission, GroupMembers, LogIndex, MemberVote, ReplicaCore,
-    ReplicaReport, ReplicaSeat,
+    DiskId, EntryBody, GroupAdmission, GroupMembers, LogIndex, MemberId, ReplicaCore,
+    ReplicaReport, VotingStatus,
     candidate_state::CoreRole,
     leader_state::LeaderState,
-    limits::{ELECTION_MAX_MILLIS, GONE_MILLIS},
+    limits::{ELECTION_MAX_MILLIS, VOTER_REMOVAL_MILLIS},
 };
 use crate::clock::ClockMillis;
 
-/// The next change of the members.
+/// A membership change.
 #[derive(Debug, Clone, Copy)]
 enum MemberChange {
-    AddLearner(ReplicaSeat),
-    RemoveVoter(ReplicaSeat),
-    PromoteLearner(ReplicaSeat),
+    AddLearner(MemberId),
+    RemoveVoter(MemberId),
+    PromoteLearner(MemberId),
 }
 
 impl MemberChange {
     fn apply(self, members: &GroupMembers) -> GroupMembers {
         match self {
-            Self::AddLearner(seat) => members.with_learner(seat),
-            Self::RemoveVoter(seat) => members.without(seat.disk),
-            Self::PromoteLearner(seat) => members.with_voter(seat.disk),
+            Self::AddLearner(member_id) => members.with_learner(member_id),
+            Self::RemoveVoter(member_id) => members.without(member_id.disk),
+            Self::PromoteLearner(member_id) => members.with_voter(member_id.disk),
         }
     }
 }
 
 impl ReplicaCore {
-    /// Makes the next change of the members, if the last one is committed.
+    /// Appends the next membership change once the last one and this term's no-op
+    /// entry are committed.
     pub(super) fn advance_membership(&mut self, now: ClockMillis) {
-        self.report_repairs();
+        self.report_completed_repairs();
         let CoreRole::Leader(leader) = &self.role else {
             return;
         };
-        let settled = self.commit >= leader.first_index && self.log.members_index() <= self.commit;
-        if !settled {
+        let may_change =
+            self.commit >= leader.noop_index && self.log.members_index() <= self.commit;
+        if !may_change {
             return;
         }
         if let Some(change) = self.next_change(leader, now) {
@@ -47,15 +50,15 @@
     }
 
     fn next_change(&self, leader: &LeaderState, now: ClockMillis) -> Option<MemberChange> {
-        if let Some(seat) = leader.joiners.first() {
-            return Some(MemberChange::AddLearner(*seat));
+        if let Some(member_id) = leader.join_requests.first() {
+            return Some(MemberChange::AddLearner(*member_id));
         }
-        self.learner_change(leader, now)
-            .or_else(|| self.removal_change(leader, now))
+        self.next_learner_step(leader, now)
+            .or_else(|| self.next_removal(leader, now))
     }
 
-    /// Returns the removal of a voter that is gone from an open group.
-    fn removal_change(&self, leader: &LeaderState, now: ClockMillis) -> Option<MemberChange> {
+    /// Returns the removal of a silent voter of an open group.
+    fn next_removal(&self, leader: &LeaderState, now: ClockMillis) -> Option<MemberChange> {
         let GroupAdmission::Open { least_voters, .. } = self.peers.admission else {
             return None;
         };
@@ -65,97 +68,106 @@
         }
         members
             .voters()
-            .filter(|seat| {
+            .filter(|member_id| {
                 leader
                     .progress
-                    .get(&seat.disk)
-                    .is_some_and(|progress| now.since(progress.heard_at) >= GONE_MILLIS)
+                    .get(&member_id.disk)
+                    .is_some_and(|progress| {
+                        now.since(progress.last_contact_at) >= VOTER_REMOVAL_MILLIS
+                    })
             })
             .map(MemberChange::RemoveVoter)
             .find(|change| self.keeps_quorum(leader, *change, now))
     }
 
-    /// Returns the next step of a learner that holds everything.
-    fn learner_change(&self, leader: &LeaderState, now: ClockMillis) -> Option<MemberChange> {
+    /// Returns the next step towards promoting a learner that has caught up.
+    fn next_learner_step(&self, leader: &LeaderState, now: ClockMillis) -> Option<MemberChange> {
         let members = self.log.members();
         members
             .list()
             .iter()
-            .filter(|member| member.vote == MemberVote::Learner)
-            .map(|member| member.seat)
-            .filter(|seat| self.holds_all(leader, seat.disk))
-            .map(|seat| match members.other_voter(seat.replica, seat.disk) {
-                Some(old) => MemberChange::RemoveVoter(old),
-                None => MemberChange::PromoteLearner(seat),
-            })
+            .filter(|member| member.voting_status == VotingStatus::Learner)
+            .map(|member| member.id)
+            .filter(|member_id| self.holds_committed_log(leader, member_id.disk))
+            .map(
+                |member_id| match members.other_voter(member_id.replica, member_id.disk) {
+                    Some(replaced) => MemberChange::RemoveVoter(replaced),
+                    None => MemberChange::PromoteLearner(member_id),
+                },
+            )
             .find(|change| self.keeps_quorum(leader, *change, now))
     }
 
-    /// Returns whether a learner holds durably all that is committed.
-    fn holds_all(&self, leader: &LeaderState, disk: DiskId) -> bool {
+    /// Returns whether a member has synced all committed entries.
+    fn holds_committed_log(&self, leader: &LeaderState, disk: DiskId) -> bool {
         leader
             .progress
             .get(&disk)
-            .is_some_and(|progress| progress.matched >= self.commit)
+            .is_some_and(|progress| progress.match_index >= self.commit)
     }
 
-    /// Returns whether a majority still answers after a change; a voter that
-    /// answers is never removed in favour of another data folder.
+    /// Returns whether a majority would still be responsive after a change.
+    ///
+    /// A responsive voter is never removed, not even for a new data folder.
     fn keeps_quorum(&self, leader: &LeaderState, change: MemberChange, now: ClockMillis) -> bool {
         let own = self.hard_state.disk;
-        let heard = |disk: DiskId| {
+        let is_responsive = |disk: DiskId| {
             disk == own
-                || leader
-                    .progress
-                    .get(&disk)
-                    .is_some_and(|progress| now.since(progress.heard_at) < ELECTION_MAX_MILLIS)
+                || leader.progress.get(&disk).is_some_and(|progress| {
+                    now.since(progress.last_contact_at) < ELECTION_MAX_MILLIS
+                })
         };
-        if let MemberChange::RemoveVoter(seat) = change
-            && heard(seat.disk)
+        if let MemberChange::RemoveVoter(member_id) = change
+            && is_responsive(member_id.disk)
         {
             return false;
         }
-        change.apply(self.log.members()).has_majority(heard)
+        change.apply(self.log.members()).has_majority(is_responsive)
     }
 
     fn change_members(&mut self, change: MemberChange, now: ClockMillis) {
         let members = change.apply(self.log.members());
-        let index = self.append_own(EntryBody::Members(members.clone()));
+        let index = self.append_entry(EntryBody::Members(members.clone()));
         let own = self.hard_state.disk;
         let CoreRole::Leader(leader) = &mut self.role else {
             return;
         };
-        leader.sync_members(&members, own, index, now);
+        leader.update_members(&members, own, index, now);
         match change {
-            MemberChange::AddLearner(seat) => {
-                self.report(ReplicaReport::LearnerAdded { seat });
-                self.send_round(now);
+            MemberChange::AddLearner(member_id) => {
+                self.report(ReplicaReport::LearnerAdded { member_id });
+                self.send_heartbeats(now);
+            }
+            MemberChange::RemoveVoter(member_id) => {
+                self.report(ReplicaReport::VoterRemoved { member_id });
+            }
+            MemberChange::PromoteLearner(member_id) => {
+                leader.pending_promotions.push((member_id, index));
             }
-            MemberChange::RemoveVoter(seat) => self.report(ReplicaReport::VoterRemoved { seat }),
-            MemberChange::PromoteLearner(seat) => leader.repairs.push((seat, index)),
         }
     }
 
-    /// Reports the repairs that outlast the loss of another replica.
-    fn report_repairs(&mut self) {
+    /// Reports promoted learners that have synced their promotion, so that the group
+    /// tolerates the loss of another replica.
+    fn report_completed_repairs(&mut self) {
         let commit = self.commit;
         let CoreRole::Leader(leader) = &mut self.role else {
             return;
         };
         let progress = &leader.progress;
-        let held = |disk: DiskId, index: LogIndex| {
+        let has_synced = |disk: DiskId, index: LogIndex| {
             progress
                 .get(&disk)
-                .is_some_and(|progress| progress.matched >= index)
+                .is_some_and(|progress| progress.match_index >= index)
         };
-        let done: Vec<(ReplicaSeat, LogIndex)> = leader
-            .repairs
-            .extract_if(.., |(seat, index)| {
-                *index <= commit && held(seat.disk, *index)
+        let completed: Vec<(MemberId, LogIndex)> = leader
+            .pending_promotions
+            .extract_if(.., |(member_id, index)| {
+                *index <= commit && has_synced(member_id.disk, *index)
             })
             .collect();
-        for (seat, _) in done {
-            self.report(ReplicaReport::RepairDone { seat });
+        for (member_id, _) in completed {
+            self.report(ReplicaReport::RepairDone { member_id });
         }
     }
 }
--- a/src/control/replica/mod.rs
+++ b/src/control/replica/mod.rs
@@ -1,25 +1,25 @@
-//! One replica of the control group's log: elections, replication, reads and
-//! membership, as a state machine without I/O.
+//! A replica of the control group's Raft log, as a state machine without I/O:
+//! elections, replication, reads, snapshots and membership changes.
 
 mod candidate_state;
 mod disk_queue;
 mod election;
+mod follower_reads;
 mod formation;
 mod group_members;
 mod group_snapshot;
-mod handover;
 mod hard_state;
 mod identity;
 mod leader_state;
+mod leadership_transfer;
 mod limits;
 mod log_entry;
 mod log_position;
 mod membership;
-mod message_intake;
+mod message_dispatch;
 mod peer_message;
 mod peer_progress;
 mod proposals;
-mod read_forward;
 mod reads;
 mod replica_action;
 mod replica_core;
@@ -30,10 +30,10 @@
 mod snapshots;
 
 pub(crate) use disk_queue::{DiskBatch, SyncToken};
-pub(crate) use group_members::{GroupMembers, MemberVote};
+pub(crate) use group_members::{GroupMembers, VotingStatus};
 pub(crate) use group_snapshot::GroupSnapshot;
 pub(crate) use hard_state::{HardState, RecoveredState};
-pub(crate) use identity::{DiskId, GroupId, ReplicaId, ReplicaSeat};
+pub(crate) use identity::{DiskId, GroupId, MemberId, ReplicaId};
 pub(crate) use limits::{MAX_ENTRY_BYTES, TICK_MILLIS};
 pub(crate) use log_entry::{EntryBody, EntryPayload, LogEntry};
 pub(crate) use log_position::{LogIndex, TermNumber};
--- a/src/control/replica/peer_message.rs
+++ b/src/control/replica/peer_message.rs
@@ -1,120 +1,141 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    DiskId, EntryPayload, GroupId, GroupMembers, LogEntry, LogIndex, ReplicaSeat, TermNumber,
+    DiskId, EntryPayload, GroupId, GroupMembers, LogEntry, LogIndex, MemberId, TermNumber,
 };
 
-/// A message between replicas.
+/// A message between replicas, encoded with postcard: the order of variants and
+/// fields is part of the protocol.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PeerMessage {
-    /// The sender's group, once it has one.
+    /// The sender's group, if any.
     pub(crate) group: Option<GroupId>,
     /// The sender.
-    pub(crate) from: ReplicaSeat,
-    /// The data folder that is meant; any on that place if absent.
+    pub(crate) from: MemberId,
+    /// The addressed data folder; any of the receiving replica if absent.
     pub(crate) to: Option<DiskId>,
-    /// The term that the message speaks for.
+    /// The term of the message: the sender's or, in a pre-vote, the proposed one.
     pub(crate) term: TermNumber,
-    /// The content.
     pub(crate) body: PeerBody,
 }
 
-/// The content of a message between replicas.
+/// The content of a peer message.
+///
+/// The `rename` attributes keep the serialized names of earlier releases; postcard
+/// does not write names.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum PeerBody {
-    /// A replica that is in no group asks for admission.
-    JoinAsked,
-    /// The asked replica is in no group either.
-    JoinEmpty,
-    /// Asks for a vote in the message's term.
-    VoteAsked {
-        /// Whether the term is only tried: nothing is promised yet.
-        trial: bool,
-        /// Whether the leader itself asked for the election.
-        urged: bool,
-        /// The candidate's last entry.
+    /// Asks for admission to the group.
+    #[serde(rename = "JoinAsked")]
+    JoinRequest,
+    /// Answers a join request: the sender's disk is empty, too.
+    #[serde(rename = "JoinEmpty")]
+    EmptyDiskResponse,
+    /// Raft's `RequestVote`.
+    #[serde(rename = "VoteAsked")]
+    VoteRequest {
+        /// Whether this is a pre-vote, which changes no term and binds no vote.
+        #[serde(rename = "trial")]
+        pre_vote: bool,
+        /// Whether the leader started the election to transfer its leadership.
+        #[serde(rename = "urged")]
+        leadership_transfer: bool,
+        /// Index of the candidate's last entry.
         last_index: LogIndex,
-        /// That entry's term.
+        /// Term of that entry.
         last_term: TermNumber,
     },
-    /// Answers a request for a vote.
-    VoteGiven {
-        /// Whether the request was a trial.
-        trial: bool,
-        /// Whether the vote was given.
+    /// Answers a vote request.
+    #[serde(rename = "VoteGiven")]
+    VoteResponse {
+        /// Whether the request was a pre-vote.
+        #[serde(rename = "trial")]
+        pre_vote: bool,
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// The leader is alive; confirms reads.
+    /// Keeps followers from starting an election, and confirms reads.
     Heartbeat {
-        /// What the receiver holds and is committed.
+        /// The commit index, at most the receiver's match index.
         commit: LogIndex,
-        /// The round that the answer names.
+        /// The heartbeat round, echoed in the response.
         round: u64,
     },
     /// Answers a heartbeat.
-    HeartbeatHeard {
-        /// The heartbeat's round.
+    #[serde(rename = "HeartbeatHeard")]
+    HeartbeatResponse {
+        /// The round of the heartbeat.
         round: u64,
     },
-    /// Entries that follow a known one.
-    Append {
-        /// The entry before the first one.
+    /// Raft's `AppendEntries`.
+    #[serde(rename = "Append")]
+    AppendEntries {
+        /// Index of the entry before `entries`.
         previous_index: LogIndex,
-        /// That entry's term.
+        /// Term of that entry.
         previous_term: TermNumber,
-        /// What is committed.
+        /// The leader's commit index.
         commit: LogIndex,
-        /// The entries.
+        /// May be empty while the leader probes for the end of the common log.
         entries: Vec<LogEntry>,
     },
-    /// The log up to `matched` equals the leader's, durably.
-    AppendHeld {
-        /// The last entry that is held.
-        matched: LogIndex,
+    /// The log up to `match_index` equals the leader's and is synced.
+    #[serde(rename = "AppendHeld")]
+    AppendAccepted {
+        /// The last entry that equals the leader's.
+        #[serde(rename = "matched")]
+        match_index: LogIndex,
     },
-    /// The entry before the first one is not held.
-    AppendRefused {
-        /// The entry that was not found.
+    /// The receiver lacks the entry before the appended ones.
+    #[serde(rename = "AppendRefused")]
+    AppendRejected {
+        /// Index of the missing entry.
         previous_index: LogIndex,
-        /// The last entry that may be held.
+        /// The last entry that may equal the leader's.
         hint: LogIndex,
     },
-    /// A part of a snapshot.
+    /// Raft's `InstallSnapshot`: one chunk of a snapshot.
     SnapshotChunk {
-        /// The last entry that the snapshot includes.
+        /// Index of the last included entry.
         index: LogIndex,
-        /// That entry's term.
+        /// Term of that entry.
         entry_term: TermNumber,
-        /// The members after that entry.
+        /// The members as of that entry.
         members: GroupMembers,
-        /// The bytes of the whole state.
+        /// Size of the whole snapshot in bytes.
         total: u64,
-        /// The place of this part.
+        /// Offset of the chunk in bytes.
         offset: u64,
-        /// The part.
+        /// The chunk.
         bytes: EntryPayload,
     },
-    /// The bytes of a snapshot that have come in.
-    SnapshotHeld {
-        /// The snapshot.
+    /// Acknowledges the chunks received so far.
+    #[serde(rename = "SnapshotHeld")]
+    SnapshotChunkResponse {
+        /// Index of the snapshot's last included entry.
         index: LogIndex,
-        /// The place of the next part.
+        /// Offset of the next chunk in bytes.
         received: u64,
     },
-    /// A follower wants to read.
-    ReadAsked {
-        /// Names the read in its answer.
+    /// A follower asks for a read index.
+    #[serde(rename = "ReadAsked")]
+    ReadIndexRequest {
+        /// Echoed in the response.
         sequence: u64,
     },
-    /// The leader confirms a read, or can't.
-    ReadAnswered {
-        /// The read.
+    /// The leader's read index, if it could confirm its leadership.
+    #[serde(rename = "ReadAnswered")]
+    ReadIndexResponse {
+        /// The sequence number of the request.
         sequence: u64,
-        /// What must be applied before the read.
+        /// The index that must be applied before the read.
         index: Option<LogIndex>,
     },
-    /// The leader is to be stopped; the receiver is to lead at once.
-    LeadUrged,
-    /// The receiver spoke for an old term.
-    TermPassed,
+    /// Raft's `TimeoutNow`: the leader transfers its leadership, so the receiver
+    /// starts an election at once.
+    #[serde(rename = "LeadUrged")]
+    TimeoutNow,
+    /// The message that this answers had an outdated term.
+    #[serde(rename = "TermPassed")]
+    StaleTerm,
 }
--- a/src/control/replica/peer_progress.rs
+++ b/src/control/replica/peer_progress.rs
@@ -1,110 +1,113 @@
 use super::{GroupSnapshot, LogIndex};
 use crate::clock::ClockMillis;
 
-/// How a leader brings a member up to date.
+/// How a leader replicates to a member.
 #[derive(Debug, Clone)]
 pub(crate) enum ProgressPhase {
-    /// The end of the common log is looked for, one message at a time.
+    /// Looks for the end of the common log, one message at a time.
     Probing,
-    /// Entries are sent ahead of their acknowledgement.
-    Streaming,
-    /// A snapshot is sent, one chunk at a time.
+    /// Sends entries before earlier ones are acknowledged.
+    Pipelining,
+    /// Sends a snapshot, one chunk at a time.
     SendingSnapshot {
-        /// The snapshot, held until it is sent.
+        /// The snapshot, kept until it is sent.
         snapshot: GroupSnapshot,
-        /// The place of the next chunk.
+        /// Offset of the next chunk in bytes.
         offset: usize,
     },
 }
 
-/// What a leader knows of one member.
+/// A leader's replication state for one member.
 #[derive(Debug, Clone)]
 pub(crate) struct PeerProgress {
-    /// The last entry that the member holds durably.
-    pub(crate) matched: LogIndex,
-    /// The next entry to send.
-    pub(crate) next: LogIndex,
-    /// How entries are sent.
+    /// The last entry that is known to be synced on the member.
+    pub(crate) match_index: LogIndex,
+    pub(crate) next_index: LogIndex,
     pub(crate) phase: ProgressPhase,
-    /// The messages that are not answered yet.
-    pub(crate) in_flight: usize,
-    /// When something was last sent or acknowledged.
-    pub(crate) active_at: ClockMillis,
-    /// When the member was last heard.
-    pub(crate) heard_at: ClockMillis,
-    /// The newest heartbeat round that the member has answered.
-    pub(crate) round: u64,
+    /// Unacknowledged append messages or snapshot chunks.
+    pub(crate) messages_in_flight: usize,
+    /// When a message was last acknowledged, or sent with none in flight; the resend
+    /// timeout starts here.
+    pub(crate) last_activity_at: ClockMillis,
+    /// When the last message came from the member.
+    pub(crate) last_contact_at: ClockMillis,
+    /// The latest heartbeat round that the member has answered.
+    pub(crate) acked_round: u64,
 }
 
 impl PeerProgress {
-    /// Creates the progress of a member whose log is not known yet.
+    /// Creates the progress of a member whose log is unknown.
     pub(crate) fn new(last_index: LogIndex, now: ClockMillis) -> Self {
         Self {
-            matched: LogIndex::ZERO,
-            next: last_index.next(),
+            match_index: LogIndex::ZERO,
+            next_index: last_index.next(),
             phase: ProgressPhase::Probing,
-            in_flight: 0,
-            active_at: now,
-            heard_at: now,
-            round: 0,
+            messages_in_flight: 0,
+            last_activity_at: now,
+            last_contact_at: now,
+            acked_round: 0,
         }
     }
 
-    /// Returns whether something has been sent that is not acknowledged.
-    pub(crate) fn awaits_answer(&self) -> bool {
-        let streaming = matches!(self.phase, ProgressPhase::Streaming);
-        self.in_flight > 0 || (streaming && self.matched.next() < self.next)
+    /// Returns whether sent entries or chunks are unacknowledged.
+    pub(crate) fn has_unacknowledged(&self) -> bool {
+        let pipelining = matches!(self.phase, ProgressPhase::Pipelining);
+        self.messages_in_flight > 0 || (pipelining && self.match_index.next() < self.next_index)
     }
 
-    /// Notes that the member holds the log up to `matched`.
-    pub(crate) fn hold(&mut self, matched: LogIndex, now: ClockMillis) {
-        self.active_at = now;
-        self.matched = self.matched.max(matched);
-        self.next = self.next.max(self.matched.next());
+    /// Records that the member's log is synced and equal up to `match_index`.
+    pub(crate) fn acknowledge(&mut self, match_index: LogIndex, now: ClockMillis) {
+        self.last_activity_at = now;
+        self.match_index = self.match_index.max(match_index);
+        self.next_index = self.next_index.max(self.match_index.next());
         match &self.phase {
-            ProgressPhase::Streaming => self.in_flight = self.in_flight.saturating_sub(1),
-            ProgressPhase::SendingSnapshot { snapshot, .. } if snapshot.index > self.matched => {}
+            ProgressPhase::Pipelining => {
+                self.messages_in_flight = self.messages_in_flight.saturating_sub(1);
+            }
+            ProgressPhase::SendingSnapshot { snapshot, .. }
+                if snapshot.index > self.match_index => {}
             ProgressPhase::Probing | ProgressPhase::SendingSnapshot { .. } => {
-                self.phase = ProgressPhase::Streaming;
-                self.next = self.matched.next();
-                self.in_flight = 0;
+                self.phase = ProgressPhase::Pipelining;
+                self.next_index = self.match_index.next();
+                self.messages_in_flight = 0;
             }
         }
     }
 
-    /// Notes that the member does not hold `previous`, at most `hint`.
-    pub(crate) fn refuse(&mut self, previous: LogIndex, hint: LogIndex, now: ClockMillis) {
-        let stale = previous <= self.matched || previous >= self.next;
+    /// Records that the member lacks `previous` and its log may equal the
+    /// leader's up to `hint`.
+    pub(crate) fn reject(&mut self, previous: LogIndex, hint: LogIndex, now: ClockMillis) {
+        let stale = previous <= self.match_index || previous >= self.next_index;
         if stale || matches!(self.phase, ProgressPhase::SendingSnapshot { .. }) {
             return;
         }
-        self.next = previous.min(hint.next()).max(self.matched.next());
+        self.next_index = previous.min(hint.next()).max(self.match_index.next());
         self.probe(now);
     }
 
-    /// Starts over after the last entry that the member is known to hold.
+    /// Starts over after the last entry that is known to be on the member.
     pub(crate) fn restart(&mut self, now: ClockMillis) {
         if !matches!(self.phase, ProgressPhase::SendingSnapshot { .. }) {
-            self.next = self.matched.next();
+            self.next_index = self.match_index.next();
             self.probe(now);
         }
-        self.in_flight = 0;
-        self.active_at = now;
+        self.messages_in_flight = 0;
+        self.last_activity_at = now;
     }
 
-    /// Starts to send a snapshot from its beginning.
+    /// Starts to send a snapshot.
     pub(crate) fn send_snapshot(&mut self, snapshot: GroupSnapshot, now: ClockMillis) {
         self.phase = ProgressPhase::SendingSnapshot {
             snapshot,
             offset: 0,
         };
-        self.in_flight = 0;
-        self.active_at = now;
+        self.messages_in_flight = 0;
+        self.last_activity_at = now;
     }
 
     fn probe(&mut self, now: ClockMillis) {
         self.phase = ProgressPhase::Probing;
-        self.in_flight = 0;
-        self.active_at = now;
+        self.messages_in_flight = 0;
+        self.last_activity_at = now;
     }
 }
--- a/src/control/replica/reads.rs
+++ b/src/control/replica/reads.rs
@@ -1,8 +1,9 @@
-//! Reads: a majority answers a heartbeat that was sent after the read was
-//! asked for, so no newer leader had accepted anything by then.
+//! Read index: a read is confirmed when a majority answers a heartbeat that was
+//! sent after the read was requested. A newer leader can't have committed anything
+//! before the request then.
 
 use super::{
-    DiskId, LogIndex, PeerBody, ReadKey, ReadOutcome, ReplicaAction, ReplicaCore, ReplicaSeat,
+    DiskId, LogIndex, MemberId, PeerBody, ReadKey, ReadOutcome, ReplicaAction, ReplicaCore,
     candidate_state::CoreRole,
     leader_state::{PendingRead, ReadSource},
     limits::MAX_PENDING_READS,
@@ -10,18 +11,26 @@
 use crate::clock::ClockMillis;
 
 impl ReplicaCore {
-    /// Takes a client's read.
-    pub(super) fn ask_read(&mut self, key: ReadKey, now: ClockMillis) {
+    /// Handles a client's read.
+    pub(super) fn handle_read(&mut self, key: ReadKey, now: ClockMillis) {
         match (&self.role, self.leader) {
             (CoreRole::Leader(_), _) => self.queue_read(ReadSource::Local(key), now),
-            (_, Some(seat)) => self.forward_read(key, seat, now),
+            (_, Some(member_id)) => self.forward_read(key, member_id, now),
             (_, None) => self.answer_read(key, ReadOutcome::Refused),
         }
     }
 
-    /// Takes a read of a follower.
-    pub(super) fn ask_read_for(&mut self, seat: ReplicaSeat, sequence: u64, now: ClockMillis) {
-        let source = ReadSource::Follower { seat, sequence };
+    /// Handles a follower's request for a read index.
+    pub(super) fn handle_read_index_request(
+        &mut self,
+        member_id: MemberId,
+        sequence: u64,
+        now: ClockMillis,
+    ) {
+        let source = ReadSource::Follower {
+            member_id,
+            sequence,
+        };
         if matches!(self.role, CoreRole::Leader(_)) {
             self.queue_read(source, now);
         } else {
@@ -38,35 +47,35 @@
             self.refuse_read(source, ReadOutcome::Overloaded);
             return;
         }
-        if index < leader.first_index {
-            // What earlier leaders committed is not known yet.
+        if index < leader.noop_index {
+            // The commit index of earlier leaders is not known yet.
             self.refuse_read(source, ReadOutcome::Refused);
             return;
         }
-        let idle = leader.reads.is_empty();
+        let was_idle = leader.reads.is_empty();
         leader.reads.push_back(PendingRead {
-            round: leader.round + 1,
+            round: leader.heartbeat_round + 1,
             index,
             source,
         });
-        if idle {
-            self.send_round(now);
+        if was_idle {
+            self.send_heartbeats(now);
         }
     }
 
-    /// Notes that a member has answered a heartbeat.
-    pub(super) fn hear_round(&mut self, disk: DiskId, round: u64, now: ClockMillis) {
-        if let Some(progress) = self.progress_of(disk, now) {
-            progress.round = progress.round.max(round);
+    /// Records that a member has answered a heartbeat.
+    pub(super) fn handle_heartbeat_response(&mut self, disk: DiskId, round: u64, now: ClockMillis) {
+        if let Some(progress) = self.progress_after_contact(disk, now) {
+            progress.acked_round = progress.acked_round.max(round);
         }
         if self.confirm_reads() {
-            self.send_round(now);
+            self.send_heartbeats(now);
         }
     }
 
-    /// Answers the reads whose round a majority has answered.
+    /// Answers the reads whose heartbeat round a majority has answered.
     ///
-    /// Returns whether reads wait for a round that is not sent yet.
+    /// Returns whether reads wait for a round that has not been sent.
     pub(super) fn confirm_reads(&mut self) -> bool {
         let own = self.hard_state.disk;
         let CoreRole::Leader(leader) = &mut self.role else {
@@ -74,12 +83,12 @@
         };
         let confirmed = self.log.members().majority_value(|disk| {
             if disk == own {
-                return leader.round;
+                return leader.heartbeat_round;
             }
             leader
                 .progress
                 .get(&disk)
-                .map_or(0, |progress| progress.round)
+                .map_or(0, |progress| progress.acked_round)
         });
         let mut answered = Vec::new();
         while let Some(read) = leader.reads.front().copied()
@@ -88,22 +97,25 @@
             leader.reads.pop_front();
             answered.push(read);
         }
-        let waits = leader
+        let has_unsent_round = leader
             .reads
             .front()
-            .is_some_and(|read| read.round > leader.round);
+            .is_some_and(|read| read.round > leader.heartbeat_round);
         for read in answered {
             self.confirm_read(read.source, read.index);
         }
-        waits
+        has_unsent_round
     }
 
     fn confirm_read(&mut self, source: ReadSource, index: LogIndex) {
         match source {
             ReadSource::Local(key) => self.answer_read(key, ReadOutcome::Confirmed { index }),
-            ReadSource::Follower { seat, sequence } => {
+            ReadSource::Follower {
+                member_id,
+                sequence,
+            } => {
                 let index = Some(index);
-                self.send(seat, PeerBody::ReadAnswered { sequence, index });
+                self.send(member_id, PeerBody::ReadIndexResponse { sequence, index });
             }
         }
     }
@@ -111,9 +123,12 @@
     fn refuse_read(&mut self, source: ReadSource, outcome: ReadOutcome) {
         match source {
             ReadSource::Local(key) => self.answer_read(key, outcome),
-            ReadSource::Follower { seat, sequence } => {
+            ReadSource::Follower {
+                member_id,
+                sequence,
+            } => {
                 let index = None;
-                self.send(seat, PeerBody::ReadAnswered { sequence, index });
+                self.send(member_id, PeerBody::ReadIndexResponse { sequence, index });
             }
         }
     }
--- a/src/control/replica/replica_view.rs
+++ b/src/control/replica/replica_view.rs
@@ -1,72 +1,68 @@
 use super::{
-    GroupId, LogIndex, MemberVote, ReplicaCore, ReplicaSeat, TermNumber, candidate_state::CoreRole,
+    GroupId, LogIndex, MemberId, ReplicaCore, TermNumber, VotingStatus, candidate_state::CoreRole,
 };
 use crate::{
     clock::{ClockMillis, SpanMillis},
     control::api::ReplicaRole,
 };
 
-/// What one member looks like from this replica.
+/// A member as seen by this replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct MemberView {
-    /// The member and its data folder.
-    pub(crate) seat: ReplicaSeat,
-    /// Whether it counts.
-    pub(crate) vote: MemberVote,
-    /// The last entry that it is known to hold durably.
-    pub(crate) held: LogIndex,
-    /// The time since it was heard; only a leader knows it.
-    pub(crate) silent: Option<SpanMillis>,
+    pub(crate) seat: MemberId,
+    pub(crate) voting_status: VotingStatus,
+    /// The last entry known to be synced on it; zero on a replica that does not lead,
+    /// except for itself.
+    pub(crate) match_index: LogIndex,
+    /// Time since the last contact; only a leader knows it for other members.
+    pub(crate) silence: Option<SpanMillis>,
 }
 
-/// What a dump shows of a replica.
+/// The state of a replica as shown to the rest of the process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ReplicaView {
-    /// This replica and its data folder.
-    pub(crate) seat: ReplicaSeat,
-    /// The group, once it belongs to one.
+    pub(crate) seat: MemberId,
+    /// Its group, if any.
     pub(crate) group: Option<GroupId>,
-    /// The newest term.
+    /// The latest term seen.
     pub(crate) term: TermNumber,
-    /// What it does.
     pub(crate) role: ReplicaRole,
-    /// Who leads, if that is known.
-    pub(crate) leader: Option<ReplicaSeat>,
-    /// The last committed entry that is known here.
+    /// The leader, if known.
+    pub(crate) leader: Option<MemberId>,
+    /// The commit index as known here.
     pub(crate) commit: LogIndex,
-    /// The last applied entry.
+    /// Index of the last applied entry.
     pub(crate) applied: LogIndex,
-    /// The last entry.
-    pub(crate) last: LogIndex,
-    /// The last entry that is synced here.
-    pub(crate) durable: LogIndex,
-    /// The last entry that the newest snapshot includes.
-    pub(crate) snapshot: LogIndex,
-    /// The members at the end of the log.
+    pub(crate) last_index: LogIndex,
+    /// Index of the last synced entry.
+    pub(crate) durable_index: LogIndex,
+    /// Last index included in the latest snapshot, zero without one.
+    pub(crate) snapshot_index: LogIndex,
+    /// The latest members in the log, committed or not.
     pub(crate) members: Vec<MemberView>,
     /// Whether these members are committed.
-    pub(crate) members_settled: bool,
-    /// Whether a leader is heard, or is this replica, and an entry of its term
-    /// is committed: nothing accepted by earlier leaders is missing here.
+    pub(crate) members_committed: bool,
+    /// Whether there is a leader and an entry of its term is committed here, so that
+    /// nothing acknowledged by earlier leaders is missing.
     pub(crate) caught_up: bool,
 }
 
 impl ReplicaCore {
-    /// Returns what a dump shows of this replica.
+    /// Returns the current state of this replica.
     pub(crate) fn view(&self, now: ClockMillis) -> ReplicaView {
         ReplicaView {
-            seat: self.seat(),
+            seat: self.member_id(),
             group: self.hard_state.group,
             term: self.hard_state.term,
             role: self.public_role(),
             leader: self.leader,
             commit: self.commit,
             applied: self.applied,
-            last: self.log.last_index(),
-            durable: self.disk.durable(),
-            snapshot: self.log.snapshot_index(),
+            last_index: self.log.last_index(),
+            durable_index: self.disk.durable_index(),
+            snapshot_index: self.log.snapshot_index(),
             members: self.member_views(now),
-            members_settled: self.log.members_index() <= self.commit,
+            members_committed: self.log.members_index() <= self.commit,
             caught_up: self.leader.is_some()
                 && self.log.term_at(self.commit) == Some(self.hard_state.term),
         }
@@ -84,23 +80,26 @@
         let members = self.log.members().list().iter();
         members
             .map(|member| {
-                let (held, silent) = match &self.role {
-                    _ if member.seat.disk == self.hard_state.disk => {
-                        (self.disk.durable(), Some(SpanMillis::ZERO))
+                let (match_index, silence) = match &self.role {
+                    _ if member.id.disk == self.hard_state.disk => {
+                        (self.disk.durable_index(), Some(SpanMillis::ZERO))
                     }
-                    CoreRole::Leader(leader) => leader
-                        .progress
-                        .get(&member.seat.disk)
-                        .map_or((LogIndex::ZERO, None), |progress| {
-                            (progress.matched, Some(now.since(progress.heard_at)))
-                        }),
+                    CoreRole::Leader(leader) => leader.progress.get(&member.id.disk).map_or(
+                        (LogIndex::ZERO, None),
+                        |progress| {
+                            (
+                                progress.match_index,
+                                Some(now.since(progress.last_contact_at)),
+                            )
+                        },
+                    ),
                     _ => (LogIndex::ZERO, None),
                 };
                 MemberView {
-                    seat: member.seat,
-                    vote: member.vote,
-                    held,
-                    silent,
+                    seat: member.id,
+                    voting_status: member.voting_status,
+                    match_index,
+                    silence,
                 }
             })
             .collect()
--- a/src/control/replica/snapshots.rs
+++ b/src/control/replica/snapshots.rs
@@ -1,14 +1,14 @@
-//! Snapshots: taking them, sending them in chunks, installing them.
+//! Taking snapshots, sending them in chunks and installing them.
 
 use super::{
-    DiskId, EntryPayload, GroupMembers, GroupSnapshot, LogIndex, PeerBody, ReplicaAction,
-    ReplicaCore, ReplicaSeat, TermNumber,
-    limits::{MAX_SNAPSHOT_BYTES, SNAPSHOT_CHUNK_BYTES, SNAPSHOT_LOG_BYTES},
+    DiskId, EntryPayload, GroupMembers, GroupSnapshot, LogIndex, MemberId, PeerBody, ReplicaAction,
+    ReplicaCore, TermNumber,
+    limits::{COMPACTION_BYTES, MAX_SNAPSHOT_BYTES, SNAPSHOT_CHUNK_BYTES},
     peer_progress::{PeerProgress, ProgressPhase},
 };
 use crate::clock::ClockMillis;
 
-/// A snapshot of which only the beginning has come in.
+/// A snapshot of which only the first chunks have arrived.
 #[derive(Debug)]
 pub(crate) struct IncomingSnapshot {
     index: LogIndex,
@@ -23,7 +23,7 @@
         self.index == index && self.term == term && self.total == total
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.bytes.len() == self.total
     }
 
@@ -38,12 +38,12 @@
 }
 
 impl PeerProgress {
-    /// Returns the next chunk of the snapshot, if none is under way.
+    /// Returns the next chunk of the snapshot, unless one is in flight.
     pub(super) fn next_chunk(&mut self, now: ClockMillis) -> Option<PeerBody> {
         let ProgressPhase::SendingSnapshot { snapshot, offset } = &self.phase else {
             return None;
         };
-        if self.in_flight > 0 {
+        if self.messages_in_flight > 0 {
             return None;
         }
         let payload = snapshot.payload.bytes();
@@ -56,14 +56,14 @@
             offset: *offset as u64,
             bytes: EntryPayload::new(payload[*offset..end].to_vec()),
         };
-        self.in_flight = 1;
-        self.active_at = now;
+        self.messages_in_flight = 1;
+        self.last_activity_at = now;
         Some(body)
     }
 }
 
 impl ReplicaCore {
-    /// Has the state machine restored from the newest snapshot.
+    /// Has the state machine restore the latest snapshot, if there is one.
     pub(super) fn restore_snapshot(&mut self) {
         if let Some(snapshot) = self.log.snapshot() {
             let payload = snapshot.payload.clone();
@@ -71,23 +71,25 @@
         }
     }
 
-    /// Asks for a snapshot when the log has grown enough.
-    pub(super) fn ask_snapshot(&mut self) {
-        let fresh = self.applied.distance(self.log.snapshot_index());
-        let large = self.log.bytes() >= SNAPSHOT_LOG_BYTES && fresh > 0;
-        if self.snapshot_asked || (fresh < self.compaction.every && !large) {
+    /// Requests a snapshot from the state machine when the log is due for compaction.
+    pub(super) fn request_snapshot(&mut self) {
+        let new_entries = self.applied.distance(self.log.snapshot_index());
+        let log_is_large = self.log.bytes() >= COMPACTION_BYTES && new_entries > 0;
+        if self.snapshot_requested
+            || (new_entries < self.compaction.interval_entries && !log_is_large)
+        {
             return;
         }
-        self.snapshot_asked = true;
+        self.snapshot_requested = true;
         let index = self.applied;
         self.actions.push(ReplicaAction::TakeSnapshot { index });
     }
 
-    /// Keeps the snapshot that the state machine wrote.
-    pub(super) fn keep_snapshot(&mut self, index: LogIndex, payload: EntryPayload) {
-        self.snapshot_asked = false;
-        let useful = index > self.log.snapshot_index() && index <= self.applied;
-        let Some(term) = self.log.term_at(index).filter(|_| useful) else {
+    /// Stores a snapshot from the state machine and compacts the log.
+    pub(super) fn store_snapshot(&mut self, index: LogIndex, payload: EntryPayload) {
+        self.snapshot_requested = false;
+        let is_newer = index > self.log.snapshot_index() && index <= self.applied;
+        let Some(term) = self.log.term_at(index).filter(|_| is_newer) else {
             return;
         };
         let snapshot = GroupSnapshot {
@@ -96,12 +98,13 @@
             members: self.log.members_at(index).clone(),
             payload,
         };
-        self.log.compact(snapshot.clone(), self.compaction.kept);
+        self.log
+            .compact(snapshot.clone(), self.compaction.retained_entries);
         self.disk.save_snapshot(snapshot, self.log.base_index());
     }
 
-    /// Takes a chunk of the leader's snapshot.
-    pub(super) fn take_chunk(&mut self, from: ReplicaSeat, body: PeerBody) {
+    /// Handles a chunk of the leader's snapshot; installs the snapshot when complete.
+    pub(super) fn handle_snapshot_chunk(&mut self, from: MemberId, body: PeerBody) {
         let PeerBody::SnapshotChunk {
             index,
             entry_term,
@@ -114,9 +117,9 @@
             return;
         };
         if index <= self.commit || self.log.term_at(index) == Some(entry_term) {
-            let matched = index.max(self.commit);
+            let match_index = index.max(self.commit);
             self.commit_to(index);
-            self.send_synced(from, PeerBody::AppendHeld { matched });
+            self.send_after_sync(from, PeerBody::AppendAccepted { match_index });
             return;
         }
         let Some(total) = usize::try_from(total)
@@ -125,8 +128,8 @@
         else {
             return;
         };
-        let known = self.incoming.take();
-        let mut incoming = known
+        let partial = self.incoming_snapshot.take();
+        let mut incoming = partial
             .filter(|incoming| incoming.is_same(index, entry_term, total))
             .unwrap_or_else(|| IncomingSnapshot {
                 index,
@@ -139,14 +142,14 @@
         if offset == incoming.bytes.len() as u64 && fits {
             incoming.bytes.extend_from_slice(bytes.bytes());
         }
-        if incoming.is_whole() {
+        if incoming.is_complete() {
             self.install_snapshot(incoming.finish());
-            self.send_synced(from, PeerBody::AppendHeld { matched: index });
+            self.send_after_sync(from, PeerBody::AppendAccepted { match_index: index });
             return;
         }
         let received = incoming.bytes.len() as u64;
-        self.incoming = Some(incoming);
-        self.send(from, PeerBody::SnapshotHeld { index, received });
+        self.incoming_snapshot = Some(incoming);
+        self.send(from, PeerBody::SnapshotChunkResponse { index, received });
     }
 
     fn install_snapshot(&mut self, snapshot: GroupSnapshot) {
@@ -155,18 +158,18 @@
         self.log.reset(snapshot.clone());
         self.disk.replace_log(snapshot);
         self.restore_snapshot();
-        self.release_forward();
+        self.answer_applied_reads();
     }
 
-    /// Notes how much of the snapshot a member has.
-    pub(super) fn note_chunk(
+    /// Records how much of a snapshot a member has received.
+    pub(super) fn handle_chunk_response(
         &mut self,
         disk: DiskId,
         index: LogIndex,
         received: u64,
         now: ClockMillis,
     ) {
-        let Some(progress) = self.progress_of(disk, now) else {
+        let Some(progress) = self.progress_after_contact(disk, now) else {
             return;
         };
         let ProgressPhase::SendingSnapshot { snapshot, offset } = &mut progress.phase else {
@@ -177,8 +180,8 @@
         };
         if snapshot.index == index && received <= snapshot.payload.bytes().len() {
             *offset = received;
-            progress.in_flight = 0;
-            progress.active_at = now;
+            progress.messages_in_flight = 0;
+            progress.last_activity_at = now;
         }
     }
 }
--- a/src/control/replica/tests/measures.rs
+++ b/src/control/replica/tests/measures.rs
@@ -1,97 +1,100 @@
 //! Measurements; run with `--release -- --nocapture measure`.
 //!
-//! A debug build runs a short form, so that the code keeps working.
+//! A debug build runs fewer seeds, which only checks that the code works.
 
 use hdrhistogram::Histogram;
 
-use super::shuffler::Shuffler;
+use super::group_simulator::GroupSimulator;
 use crate::clock::SpanMillis;
 
-/// The largest time that a measurement records, in its unit.
-const MOST_RECORDED: u64 = 100_000_000;
+/// Upper bound of the histograms in milliseconds.
+const MAX_RECORDED: u64 = 100_000_000;
 const SEEDS: u64 = if cfg!(debug_assertions) { 5 } else { 200 };
 const MISSED_ENTRIES: usize = 500;
 const SETTLE_MILLIS: SpanMillis = SpanMillis::new(4_000);
 const STEP_MILLIS: SpanMillis = SpanMillis::new(25);
 
 #[test]
-fn measure_the_time_without_a_leader() {
+fn measure_failover_time() {
     for count in [3, 5] {
-        let mut spans = Histogram::<u64>::new_with_max(MOST_RECORDED, 3).expect("a valid range");
+        let mut outages = Histogram::<u64>::new_with_max(MAX_RECORDED, 3).expect("a valid range");
         for seed in 0..SEEDS {
-            let mut shuffler = Shuffler::new(count, seed);
-            shuffler.run(SETTLE_MILLIS);
-            let old = shuffler.leader().expect("a group is formed");
-            // The leader dies at another point of its heartbeats each time.
-            shuffler.pass_time(SpanMillis::new(seed % 150));
-            shuffler.crash(old, 0);
-            let start = shuffler.now;
+            let mut simulator = GroupSimulator::new(count, seed);
+            simulator.run(SETTLE_MILLIS);
+            let old_leader = simulator.leader().expect("a group is formed");
+            // The leader crashes at a different time between heartbeats with each seed.
+            simulator.pass_time(SpanMillis::new(seed % 150));
+            simulator.crash(old_leader, 0);
+            let start = simulator.now;
             let elected = loop {
-                shuffler.run(STEP_MILLIS);
-                let leader = shuffler.leader();
+                simulator.run(STEP_MILLIS);
+                let leader = simulator.leader();
                 if let Some(leader) = leader {
                     break leader;
                 }
             };
-            let key = shuffler.propose(elected);
-            shuffler.settle();
+            let key = simulator.propose(elected);
+            simulator.settle();
             assert!(
-                shuffler.record.outcomes.contains_key(&key),
-                "it accepts at once"
+                simulator.history.outcomes.contains_key(&key),
+                "the proposal is answered at once"
             );
-            spans.saturating_record(shuffler.now.since(start).millis());
+            outages.saturating_record(simulator.now.since(start).millis());
         }
         println!(
             "{count} replicas, {SEEDS} seeds: p50 {} ms, p90 {} ms, p99 {} ms, max {} ms",
-            spans.value_at_quantile(0.5),
-            spans.value_at_quantile(0.9),
-            spans.value_at_quantile(0.99),
-            spans.max(),
+            outages.value_at_quantile(0.5),
+            outages.value_at_quantile(0.9),
+            outages.value_at_quantile(0.99),
+            outages.max(),
         );
     }
 }
 
 #[test]
-fn measure_the_catching_up() {
-    for (name, every, kept) in [("entries", 4_096, 1_024), ("snapshot", 100, 0)] {
-        let mut shuffler = Shuffler::new(3, 11).with_compaction(every, kept);
-        shuffler.run(SETTLE_MILLIS);
-        let leader = shuffler.leader().expect("a group is formed");
+fn measure_catch_up() {
+    for (name, interval_entries, retained_entries) in
+        [("entries", 4_096, 1_024), ("snapshot", 100, 0)]
+    {
+        let mut simulator =
+            GroupSimulator::new(3, 11).with_compaction(interval_entries, retained_entries);
+        simulator.run(SETTLE_MILLIS);
+        let leader = simulator.leader().expect("a group is formed");
         let lagging = (leader + 1) % 3;
-        shuffler.crash(lagging, 0);
+        simulator.crash(lagging, 0);
         for _ in 0..MISSED_ENTRIES {
-            shuffler.propose(leader);
-            shuffler.settle();
+            simulator.propose(leader);
+            simulator.settle();
         }
-        shuffler.run(SETTLE_MILLIS);
-        shuffler.restart(lagging);
-        shuffler.count_for(lagging);
-        let start = shuffler.now;
-        let last = shuffler.view(leader).expect("it runs").commit;
-        while shuffler.view(lagging).expect("it runs").applied < last {
-            shuffler.run(STEP_MILLIS);
+        simulator.run(SETTLE_MILLIS);
+        simulator.restart(lagging);
+        simulator.count_messages_of(lagging);
+        let start = simulator.now;
+        let last = simulator.view(leader).expect("it runs").commit;
+        while simulator.view(lagging).expect("it runs").applied < last {
+            simulator.run(STEP_MILLIS);
         }
         println!(
             "{MISSED_ENTRIES} missed changes by {name}: {} messages, {} bytes both ways, {} ms",
-            shuffler.messages,
-            shuffler.bytes,
-            shuffler.now.since(start).millis(),
+            simulator.messages,
+            simulator.bytes,
+            simulator.now.since(start).millis(),
         );
     }
 }
 
 #[test]
-fn measure_the_messages_of_an_idle_group() {
+fn measure_idle_traffic() {
     for count in [3, 5] {
-        let mut shuffler = Shuffler::new(count, 11);
-        shuffler.run(SETTLE_MILLIS);
-        let leader = shuffler.leader().expect("a group is formed");
-        shuffler.count_for(leader);
-        shuffler.run(SpanMillis::new(10_000));
+        let mut simulator = GroupSimulator::new(count, 11);
+        simulator.run(SETTLE_MILLIS);
+        let leader = simulator.leader().expect("a group is formed");
+        simulator.count_messages_of(leader);
+        simulator.run(SpanMillis::new(10_000));
         println!(
             "{count} replicas idle, leader, both ways: {} messages/s, {} bytes/s",
-            shuffler.messages / 10,
-            shuffler.bytes / 10,
+            simulator.messages / 10,
+            simulator.bytes / 10,
         );
     }
 }
--- a/src/control/replica/tests/single_core.rs
+++ b/src/control/replica/tests/single_core.rs
@@ -1,39 +1,39 @@
-//! Rules of one replica that a group of them rarely shows.
+//! Rules of a single replica that are rarely visible in a simulated group.
 
 use crate::{
     clock::{ClockMillis, SpanMillis},
     control::replica::{
         DiskId, EntryBody, EntryPayload, GroupAdmission, GroupId, GroupMembers, HardState,
-        LogEntry, LogIndex, PeerBody, PeerMessage, RecoveredState, ReplicaAction, ReplicaCore,
-        ReplicaEvent, ReplicaId, ReplicaPeers, ReplicaReport, ReplicaSeat, TermNumber,
+        LogEntry, LogIndex, MemberId, PeerBody, PeerMessage, RecoveredState, ReplicaAction,
+        ReplicaCore, ReplicaEvent, ReplicaId, ReplicaPeers, ReplicaReport, TermNumber,
     },
 };
 
 const GROUP: GroupId = GroupId::new(1);
-const LATER_MILLIS: SpanMillis = SpanMillis::new(5_000);
+const PAST_ELECTION_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(5_000);
 
-/// One replica of three whose peers are played by the test.
+/// One replica of three; the test plays its peers.
 struct SingleCore {
     core: ReplicaCore,
     now: ClockMillis,
 }
 
-fn seat(number: u32) -> ReplicaSeat {
-    ReplicaSeat {
+fn member_id(number: u32) -> MemberId {
+    MemberId {
         replica: ReplicaId::new(number),
         disk: DiskId::new(u128::from(number) * 100),
     }
 }
 
 impl SingleCore {
-    /// Starts replica 1 with one change of term 1 behind the members.
+    /// Starts replica 1 with a log of the members and one change, both of term 1.
     fn new() -> Self {
         Self::with_commit(LogIndex::ZERO)
     }
 
-    /// Starts replica 1 whose data folder remembers a commit.
+    /// Starts replica 1 with a saved commit index.
     fn with_commit(commit: LogIndex) -> Self {
-        let members = GroupMembers::new([seat(1), seat(2), seat(3)]);
+        let members = GroupMembers::new([member_id(1), member_id(2), member_id(3)]);
         let bodies = [
             EntryBody::Members(members),
             EntryBody::Change(EntryPayload::new(vec![1])),
@@ -45,7 +45,7 @@
         });
         let recovered = RecoveredState {
             hard_state: HardState {
-                disk: seat(1).disk,
+                disk: member_id(1).disk,
                 group: Some(GROUP),
                 term: TermNumber::new(1),
                 voted_for: None,
@@ -61,55 +61,55 @@
         };
         Self {
             core: ReplicaCore::new(peers, recovered, 5, ClockMillis::ORIGIN),
-            now: ClockMillis::ORIGIN.after(LATER_MILLIS),
+            now: ClockMillis::ORIGIN.after(PAST_ELECTION_TIMEOUT_MILLIS),
         }
     }
 
-    /// Handles an event; every batch is synced at once.
+    /// Handles an event; batches are synced at once.
     fn handle(&mut self, event: ReplicaEvent) -> Vec<ReplicaAction> {
         let mut actions = self.core.handle(event, self.now);
-        let mut place = 0;
-        while place < actions.len() {
-            if let ReplicaAction::Persist(batch) = &actions[place] {
+        let mut position = 0;
+        while position < actions.len() {
+            if let ReplicaAction::Persist(batch) = &actions[position] {
                 let token = batch.token;
                 let event = ReplicaEvent::Synced { token };
                 actions.extend(self.core.handle(event, self.now));
             }
-            place += 1;
+            position += 1;
         }
         actions
     }
 
     fn receive(&mut self, from: u32, term: u64, body: PeerBody) -> Vec<ReplicaAction> {
-        self.handle(ReplicaEvent::Received(PeerMessage {
+        self.handle(ReplicaEvent::MessageReceived(PeerMessage {
             group: Some(GROUP),
-            from: seat(from),
-            to: Some(seat(1).disk),
+            from: member_id(from),
+            to: Some(member_id(1).disk),
             term: TermNumber::new(term),
             body,
         }))
     }
 
-    /// Makes the replica leader of term 2.
-    fn lead(&mut self) {
+    /// Makes the replica the leader of term 2.
+    fn become_leader(&mut self) {
         self.handle(ReplicaEvent::Tick);
-        for trial in [true, false] {
+        for pre_vote in [true, false] {
             let granted = true;
-            self.receive(2, 2, PeerBody::VoteGiven { trial, granted });
+            self.receive(2, 2, PeerBody::VoteResponse { pre_vote, granted });
         }
     }
 
-    fn ask_vote(&mut self, from: u32, term: u64) -> bool {
-        let body = PeerBody::VoteAsked {
-            trial: false,
-            urged: false,
+    fn request_vote(&mut self, from: u32, term: u64) -> bool {
+        let body = PeerBody::VoteRequest {
+            pre_vote: false,
+            leadership_transfer: false,
             last_index: LogIndex::new(9),
             last_term: TermNumber::new(1),
         };
         let actions = self.receive(from, term, body);
         actions.iter().any(|action| {
             matches!(action, ReplicaAction::Send { message, .. }
-                if matches!(message.body, PeerBody::VoteGiven { granted: true, .. }))
+                if matches!(message.body, PeerBody::VoteResponse { granted: true, .. }))
         })
     }
 }
@@ -122,22 +122,22 @@
 }
 
 #[test]
-fn an_entry_of_an_old_term_is_committed_only_with_one_of_the_own() {
+fn an_entry_of_an_earlier_term_is_committed_only_with_one_of_the_current_term() {
     let mut single = SingleCore::new();
-    single.lead();
-    let held = |index| PeerBody::AppendHeld {
-        matched: LogIndex::new(index),
+    single.become_leader();
+    let accepted_up_to = |index| PeerBody::AppendAccepted {
+        match_index: LogIndex::new(index),
     };
-    assert_eq!(applied(&single.receive(2, 2, held(2))), 0);
-    assert_eq!(applied(&single.receive(2, 2, held(3))), 1);
+    assert_eq!(applied(&single.receive(2, 2, accepted_up_to(2))), 0);
+    assert_eq!(applied(&single.receive(2, 2, accepted_up_to(3))), 1);
 }
 
 #[test]
-fn a_vote_is_given_once_a_term() {
+fn a_replica_votes_for_one_candidate_per_term() {
     let mut single = SingleCore::new();
-    assert!(single.ask_vote(2, 7));
-    assert!(!single.ask_vote(3, 7));
-    assert!(single.ask_vote(2, 7));
+    assert!(single.request_vote(2, 7));
+    assert!(!single.request_vote(3, 7));
+    assert!(single.request_vote(2, 7));
 }
 
 #[test]
@@ -149,16 +149,16 @@
     };
     let message = |group, to| PeerMessage {
         group: Some(GroupId::new(group)),
-        from: seat(2),
+        from: member_id(2),
         to: Some(DiskId::new(to)),
         term: TermNumber::new(4),
         body: body.clone(),
     };
     for (group, to) in [(1, 999), (2, 100)] {
-        single.handle(ReplicaEvent::Received(message(group, to)));
+        single.handle(ReplicaEvent::MessageReceived(message(group, to)));
         assert_eq!(single.core.view(single.now).term, TermNumber::new(1));
     }
-    single.handle(ReplicaEvent::Received(message(1, 100)));
+    single.handle(ReplicaEvent::MessageReceived(message(1, 100)));
     assert_eq!(single.core.view(single.now).term, TermNumber::new(4));
 }
 
@@ -170,7 +170,7 @@
         round: 1,
     };
     assert_eq!(applied(&single.receive(2, 4, heartbeat)), 1);
-    let other = PeerBody::Append {
+    let other = PeerBody::AppendEntries {
         previous_index: LogIndex::new(1),
         previous_term: TermNumber::new(1),
         commit: LogIndex::ZERO,
@@ -193,27 +193,27 @@
 }
 
 #[test]
-fn a_remembered_commit_is_applied_before_a_leader_is_heard() {
+fn saved_commits_are_applied_before_a_leader_is_known() {
     let mut replica = SingleCore::with_commit(LogIndex::new(2));
     let actions = replica.handle(ReplicaEvent::Tick);
     let applied = |action: &ReplicaAction| matches!(action, ReplicaAction::Apply { index, .. } if *index == LogIndex::new(2));
     assert!(actions.iter().any(applied));
-    // Others may have committed more meanwhile.
+    // The other replicas may have committed more since.
     assert!(!replica.core.view(replica.now).caught_up);
 }
 
 #[test]
 fn a_new_leader_is_caught_up_once_an_entry_of_its_term_is_committed() {
     let mut replica = SingleCore::with_commit(LogIndex::new(2));
-    replica.lead();
+    replica.become_leader();
     assert!(!replica.core.view(replica.now).caught_up);
-    let matched = LogIndex::new(3);
-    replica.receive(2, 2, PeerBody::AppendHeld { matched });
+    let match_index = LogIndex::new(3);
+    replica.receive(2, 2, PeerBody::AppendAccepted { match_index });
     assert!(replica.core.view(replica.now).caught_up);
 }
 
 #[test]
-fn a_replica_is_shown_by_its_number_or_its_address() {
+fn a_replica_id_is_displayed_as_a_number_or_an_address() {
     assert_eq!(ReplicaId::new(3).to_string(), "3");
     let address = std::net::Ipv4Addr::new(10, 1, 0, 13);
     assert_eq!(ReplicaId::at(address).to_string(), "10.1.0.13");
--- a/src/flow/tests/balancer_verdicts.rs
+++ b/src/flow/tests/balancer_verdicts.rs
@@ -5,7 +5,7 @@
     clock::{ClockMillis, SpanMillis},
     flow::{
         BalancerFlows, FlowReport, FlowVerdict, HopHeader, KnownTargets, PacketSigns, RankedTarget,
-        RefusalCause, ReportKind, ReportStep, ServiceTargets, TargetRanking, TargetStart,
+        RefusalCause, ReportKind, ReportStep, ServiceTargets, TargetIncarnation, TargetRanking,
     },
     key::IncarnationId,
     listener::{
@@ -14,8 +14,8 @@
 };
 
 pub(super) const START: ClockMillis = ClockMillis::new(1_000);
-const START_OF_TARGET: IncarnationId = IncarnationId::new(3);
-pub(super) const AGE: SpanMillis = SpanMillis::new(60_000);
+const INCARNATION: IncarnationId = IncarnationId::new(3);
+pub(super) const FLOW_AGE: SpanMillis = SpanMillis::new(60_000);
 
 pub(super) fn service() -> ServiceTag {
     ServiceTag::of("barge-control")
@@ -37,7 +37,7 @@
     }
 }
 
-pub(super) fn targets(open: &[u8], hold: &[u8]) -> ServiceTargets {
+pub(super) fn targets(accepting: &[u8], possible_owners: &[u8]) -> ServiceTargets {
     let ranking = |agents: &[u8]| {
         let targets = agents.iter().map(|number| RankedTarget {
             agent: agent(*number),
@@ -46,27 +46,27 @@
         TargetRanking::new(targets.collect())
     };
     ServiceTargets {
-        open: ranking(open),
-        hold: ranking(hold),
+        accepting: ranking(accepting),
+        possible_owners: ranking(possible_owners),
     }
 }
 
-/// All that is known of targets; nothing is missing.
-pub(super) fn known(services: HashMap<ServiceTag, ServiceTargets>) -> KnownTargets {
+/// Returns complete knowledge of the targets.
+pub(super) fn known_targets(services: HashMap<ServiceTag, ServiceTargets>) -> KnownTargets {
     KnownTargets {
         services,
-        starts: HashMap::new(),
+        incarnations: HashMap::new(),
         complete: true,
     }
 }
 
-/// A balancer with one route to targets 1 to 5.
+/// Returns a balancer with one route to targets 1 to 5.
 pub(super) fn balancer() -> BalancerFlows {
-    let mut table = ListenerTable::new(AGE);
+    let mut table = ListenerTable::new(FLOW_AGE);
     table.replace(&manifest(1, vec![route(service())]), START);
-    let mut flows = BalancerFlows::new(BALANCER, table, AGE);
+    let mut flows = BalancerFlows::new(BALANCER, table, FLOW_AGE);
     let agents = [1, 2, 3, 4, 5];
-    flows.set_targets(known(HashMap::from([(
+    flows.set_targets(known_targets(HashMap::from([(
         service(),
         targets(&agents, &agents),
     )])));
@@ -81,12 +81,16 @@
     }
 }
 
-fn open(flows: &mut BalancerFlows, port: u16, now: ClockMillis) -> (Ipv4Addr, Vec<Ipv4Addr>) {
+fn send_opening(
+    flows: &mut BalancerFlows,
+    port: u16,
+    now: ClockMillis,
+) -> (Ipv4Addr, Vec<Ipv4Addr>) {
     let opening = from_caller(flow(port), PacketSigns::OPEN);
     forwarded(flows.take_packet(&opening, &[1], now))
 }
 
-fn continued(flows: &mut BalancerFlows, port: u16) -> (Ipv4Addr, Vec<Ipv4Addr>) {
+fn send_data(flows: &mut BalancerFlows, port: u16) -> (Ipv4Addr, Vec<Ipv4Addr>) {
     let data = from_caller(flow(port), PacketSigns::ACKNOWLEDGE);
     forwarded(flows.take_packet(&data, &[1], START))
 }
@@ -95,16 +99,16 @@
     FlowReport {
         flow: flow(port),
         agent: from,
-        target: Some(START_OF_TARGET),
-        walk: 0,
+        incarnation: Some(INCARNATION),
+        lookup_id: 0,
         kind,
     }
 }
 
-/// An agent's word that it, the last one asked in a walk, does not hold flow 1.
-fn not_held(from: Ipv4Addr, walk: u32) -> FlowReport {
+/// Returns the report of an agent that it does not hold flow 1.
+fn not_held(from: Ipv4Addr, lookup_id: u32) -> FlowReport {
     FlowReport {
-        walk,
+        lookup_id,
         ..report(1, from, ReportKind::NotHeld)
     }
 }
@@ -112,96 +116,96 @@
 #[test]
 fn packets_follow_the_agent_that_reported_the_flow() {
     let mut flows = balancer();
-    let (first, candidates) = open(&mut flows, 1, START);
+    let (first, candidates) = send_opening(&mut flows, 1, START);
     let holder = candidates[1];
     assert_ne!(first, holder);
     flows.take_report(&report(1, holder, ReportKind::Held), START);
-    assert_eq!(continued(&mut flows, 1), (holder, Vec::new()));
+    assert_eq!(send_data(&mut flows, 1), (holder, Vec::new()));
 }
 
 #[test]
-fn any_balancer_looks_for_an_owner_in_the_same_order() {
-    let (first, candidates) = open(&mut balancer(), 1, START);
-    let (asked, others) = continued(&mut balancer(), 1);
+fn every_balancer_looks_up_an_owner_in_the_same_order() {
+    let (first, candidates) = send_opening(&mut balancer(), 1, START);
+    let (asked, others) = send_data(&mut balancer(), 1);
     assert_eq!(asked, first);
     assert!(candidates.iter().all(|agent| others.contains(agent)));
 }
 
 #[test]
-fn a_flow_that_its_agent_does_not_hold_is_looked_for_again() {
+fn a_flow_that_its_agent_does_not_hold_is_looked_up_again() {
     let mut flows = balancer();
     flows.take_report(&report(1, agent(9), ReportKind::Held), START);
-    assert_eq!(continued(&mut flows, 1).0, agent(9));
+    assert_eq!(send_data(&mut flows, 1).0, agent(9));
     flows.take_report(&report(1, agent(9), ReportKind::NotHeld), START);
-    let (asked, others) = continued(&mut flows, 1);
+    let (asked, others) = send_data(&mut flows, 1);
     assert_ne!(asked, agent(9));
     assert_eq!(others.len(), 4);
 }
 
 #[test]
-fn a_copy_of_an_opening_follows_the_first_one() {
+fn a_retransmitted_opening_goes_to_the_agent_of_the_first_one() {
     let mut flows = balancer();
-    let (first, _) = open(&mut flows, 1, START);
+    let (first, _) = send_opening(&mut flows, 1, START);
     let agents = [1, 2, 3, 4, 5, 6, 7, 8];
-    flows.set_targets(known(HashMap::from([(
+    flows.set_targets(known_targets(HashMap::from([(
         service(),
         targets(&agents, &agents),
     )])));
     assert_eq!(
-        open(&mut flows, 1, START.after(SpanMillis::new(30))).0,
+        send_opening(&mut flows, 1, START.after(SpanMillis::new(30))).0,
         first
     );
 }
 
 #[test]
-fn an_unreported_opening_is_sent_on_and_its_agent_is_avoided() {
+fn an_unreported_opening_goes_to_the_next_candidate_and_its_agent_is_avoided() {
     let mut flows = balancer();
-    let (silent, candidates) = open(&mut flows, 1, START);
-    let due = flows.next_due().expect("a watched opening");
+    let (silent, candidates) = send_opening(&mut flows, 1, START);
+    let due = flows.next_due().expect("a pending opening");
     assert!(due.since(START) <= SpanMillis::new(100));
     let resent = flows.expire_openings(due);
     assert_eq!(resent.len(), 1);
     assert_eq!(resent[0].2, candidates[0]);
-    let avoided = (2..200).all(|port| open(&mut flows, port, due).0 != silent);
+    let avoided = (2..200).all(|port| send_opening(&mut flows, port, due).0 != silent);
     assert!(avoided);
-    // A word of the agent ends the suspicion.
+    // A report of the agent ends the suspicion.
     flows.take_report(&report(900, silent, ReportKind::Held), due);
-    assert!((200..400).any(|port| open(&mut flows, port, due).0 == silent));
+    assert!((200..400).any(|port| send_opening(&mut flows, port, due).0 == silent));
 }
 
 #[test]
-fn a_target_that_takes_no_new_flows_is_still_asked_for_its_own() {
+fn a_target_that_accepts_no_new_flows_is_still_asked_in_lookups() {
     let mut flows = balancer();
-    let (owner, _) = open(&mut flows, 1, START);
+    let (owner, _) = send_opening(&mut flows, 1, START);
     let others: Vec<u8> = (1..6).filter(|number| agent(*number) != owner).collect();
-    flows.set_targets(known(HashMap::from([(
+    flows.set_targets(known_targets(HashMap::from([(
         service(),
         targets(&others, &[1, 2, 3, 4, 5]),
     )])));
-    let (asked, more) = continued(&mut flows, 1);
+    let (asked, more) = send_data(&mut flows, 1);
     assert!(asked == owner || more.contains(&owner));
-    let (next, _) = open(&mut flows, 2, START);
+    let (next, _) = send_opening(&mut flows, 2, START);
     assert_ne!(next, owner);
 }
 
 #[test]
-fn an_open_flow_is_found_at_the_service_that_its_route_had_before() {
+fn an_open_flow_is_looked_up_at_the_former_service_of_its_route() {
     let mut flows = balancer();
     let other = ServiceTag::of("logbook");
     flows
         .table_mut()
         .replace(&manifest(2, vec![route(other)]), START);
-    flows.set_targets(known(HashMap::from([
+    flows.set_targets(known_targets(HashMap::from([
         (service(), targets(&[1], &[1])),
         (other, targets(&[8], &[8])),
     ])));
-    assert_eq!(open(&mut flows, 2, START).0, agent(8));
-    let (asked, others) = continued(&mut flows, 1);
+    assert_eq!(send_opening(&mut flows, 2, START).0, agent(8));
+    let (asked, others) = send_data(&mut flows, 1);
     assert_eq!((asked, others), (agent(8), vec![agent(1)]));
 }
 
 #[test]
-fn a_dropped_route_is_refused_only_while_the_routes_are_current() {
+fn an_opening_to_a_removed_route_is_reset_only_while_the_routes_are_current() {
     let mut flows = balancer();
     flows.table_mut().replace(&manifest(2, Vec::new()), START);
     let opening = from_caller(flow(1), PacketSigns::OPEN);
@@ -216,17 +220,17 @@
 }
 
 #[test]
-fn nothing_is_refused_before_the_first_routes_are_known() {
-    let mut flows = BalancerFlows::new(BALANCER, ListenerTable::new(AGE), AGE);
+fn an_opening_is_parked_before_the_first_routes_are_known() {
+    let mut flows = BalancerFlows::new(BALANCER, ListenerTable::new(FLOW_AGE), FLOW_AGE);
     flows.set_current(true);
     let opening = from_caller(flow(1), PacketSigns::OPEN);
     let verdict = flows.take_packet(&opening, &[1], START);
     assert_eq!(verdict, FlowVerdict::Park(RefusalCause::NotReady));
 }
 
-/// Sends data of flow 1, whose owner is not known; returns who is asked first
-/// and the frame's header.
-fn look(flows: &mut BalancerFlows) -> (Ipv4Addr, HopHeader) {
+/// Sends data of flow 1, whose owner is not known; returns the agent that is asked
+/// first and the frame's header.
+fn start_lookup(flows: &mut BalancerFlows) -> (Ipv4Addr, HopHeader) {
     let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
     match flows.take_packet(&data, &[1], START) {
         FlowVerdict::Forward { to, header } => (to, header),
@@ -234,19 +238,20 @@
     }
 }
 
-fn last_of(to: Ipv4Addr, header: &HopHeader) -> Ipv4Addr {
+fn last_candidate(to: Ipv4Addr, header: &HopHeader) -> Ipv4Addr {
     header.candidates().last().copied().unwrap_or(to)
 }
 
-/// Looks for flow 1 of which no target knows; returns who was asked and the end.
-pub(super) fn walk(flows: &mut BalancerFlows) -> (Vec<Ipv4Addr>, ReportStep) {
-    let (mut to, mut header) = look(flows);
+/// Runs a lookup of flow 1, which no target holds; returns the agents that were
+/// asked and the last step.
+pub(super) fn run_lookup(flows: &mut BalancerFlows) -> (Vec<Ipv4Addr>, ReportStep) {
+    let (mut to, mut header) = start_lookup(flows);
     let mut asked = Vec::new();
     loop {
         asked.push(to);
         asked.extend(header.candidates());
-        let word = not_held(last_of(to, &header), header.walk);
-        match flows.take_report(&word, START) {
+        let report = not_held(last_candidate(to, &header), header.lookup_id);
+        match flows.take_report(&report, START) {
             ReportStep::Forward {
                 to: next,
                 header: after,
@@ -258,11 +263,14 @@
 }
 
 #[test]
-fn a_flow_that_every_target_gave_back_is_reset_after_each_was_asked_once() {
+fn a_flow_that_no_target_holds_is_reset_after_each_was_asked_once() {
     let mut flows = balancer();
-    let many: Vec<u8> = (1..43).collect();
-    flows.set_targets(known(HashMap::from([(service(), targets(&many, &many))])));
-    let (mut asked, end) = walk(&mut flows);
+    let agents: Vec<u8> = (1..43).collect();
+    flows.set_targets(known_targets(HashMap::from([(
+        service(),
+        targets(&agents, &agents),
+    )])));
+    let (mut asked, end) = run_lookup(&mut flows);
     assert!(matches!(end, ReportStep::Reset(reset) if reset.flow == flow(1)));
     assert_eq!(asked.len(), 42);
     asked.sort_unstable();
@@ -273,77 +281,77 @@
 #[test]
 fn a_flow_is_never_reset_while_a_target_may_be_missing() {
     let mut flows = balancer();
-    let mut partial = known(HashMap::from([(service(), targets(&[1, 2], &[1, 2]))]));
+    let mut partial = known_targets(HashMap::from([(service(), targets(&[1, 2], &[1, 2]))]));
     partial.complete = false;
     flows.set_targets(partial);
-    assert_eq!(walk(&mut flows).1, ReportStep::Nothing);
+    assert_eq!(run_lookup(&mut flows).1, ReportStep::Nothing);
     let mut flows = balancer();
     flows.set_current(false);
-    assert_eq!(walk(&mut flows).1, ReportStep::Nothing);
+    assert_eq!(run_lookup(&mut flows).1, ReportStep::Nothing);
 }
 
 #[test]
-fn a_target_that_came_meanwhile_is_asked_before_a_flow_is_reset() {
+fn a_target_added_during_a_lookup_is_asked_before_a_reset() {
     let mut flows = balancer();
-    let (to, header) = look(&mut flows);
+    let (to, header) = start_lookup(&mut flows);
     let agents = [1, 2, 3, 4, 5, 6];
-    flows.set_targets(known(HashMap::from([(
+    flows.set_targets(known_targets(HashMap::from([(
         service(),
         targets(&agents, &agents),
     )])));
-    let word = not_held(last_of(to, &header), header.walk);
-    let step = flows.take_report(&word, START);
+    let report = not_held(last_candidate(to, &header), header.lookup_id);
+    let step = flows.take_report(&report, START);
     assert!(matches!(step, ReportStep::Forward { to, .. } if to == agent(6)));
 }
 
-/// Seed 2102 of the soak: on a slow path the last agent's word on an earlier
-/// packet came while a later one was still on its way to the owner.
+/// Soak seed 2102: on a slow path, the last agent's report on an earlier packet
+/// arrived while a later one was still in transit to the owner.
 #[test]
-fn a_late_word_on_an_earlier_walk_ends_no_flow() {
+fn a_late_report_on_an_earlier_lookup_resets_no_flow() {
     let mut flows = balancer();
-    let (to, earlier) = look(&mut flows);
-    let (_, later) = look(&mut flows);
-    let last = last_of(to, &earlier);
-    let step = flows.take_report(&not_held(last, earlier.walk), START);
+    let (to, earlier) = start_lookup(&mut flows);
+    let (_, later) = start_lookup(&mut flows);
+    let last = last_candidate(to, &earlier);
+    let step = flows.take_report(&not_held(last, earlier.lookup_id), START);
     assert_eq!(step, ReportStep::Nothing);
-    let step = flows.take_report(&not_held(last, later.walk), START);
+    let step = flows.take_report(&not_held(last, later.lookup_id), START);
     assert!(matches!(step, ReportStep::Reset(_)));
 }
 
 #[test]
-fn a_word_of_an_agent_that_was_asked_in_vain_leaves_the_owner_known() {
+fn a_not_held_report_of_another_agent_keeps_the_confirmed_owner() {
     let mut flows = balancer();
     flows.take_report(&report(1, agent(2), ReportKind::Held), START);
     flows.take_report(&not_held(agent(3), 0), START);
-    assert_eq!(continued(&mut flows, 1), (agent(2), Vec::new()));
+    assert_eq!(send_data(&mut flows, 1), (agent(2), Vec::new()));
 }
 
 #[test]
-fn a_word_of_an_agent_in_the_middle_ends_no_walk() {
+fn a_not_held_report_of_an_agent_that_is_not_the_last_one_is_ignored() {
     let mut flows = balancer();
-    let (to, header) = look(&mut flows);
-    let step = flows.take_report(&not_held(to, header.walk), START);
+    let (to, header) = start_lookup(&mut flows);
+    let step = flows.take_report(&not_held(to, header.lookup_id), START);
     assert_eq!(step, ReportStep::Nothing);
 }
 
-/// Returns a balancer that was told that agent 2 holds flow 1, and knows this
-/// start of its target.
-fn balancer_with_start(start: TargetStart) -> BalancerFlows {
+/// Returns a balancer to which agent 2 reported flow 1 as held, and which knows
+/// this incarnation of the agent's target.
+fn balancer_with_incarnation(incarnation: TargetIncarnation) -> BalancerFlows {
     let mut flows = balancer();
     flows.take_report(&report(1, agent(2), ReportKind::Held), START);
-    let mut targets = known(HashMap::from([(
+    let mut targets = known_targets(HashMap::from([(
         service(),
         targets(&[1, 2, 3], &[1, 2, 3]),
     )]));
-    targets.starts.insert(agent(2), start);
+    targets.incarnations.insert(agent(2), incarnation);
     flows.set_targets(targets);
     flows
 }
 
 #[test]
-fn a_flow_whose_target_ended_is_reset_at_once() {
-    let mut flows = balancer_with_start(TargetStart {
-        target: Some(START_OF_TARGET),
+fn a_flow_whose_target_ended_is_reset_without_a_lookup() {
+    let mut flows = balancer_with_incarnation(TargetIncarnation {
+        id: Some(INCARNATION),
         ended: true,
     });
     let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
@@ -354,42 +362,42 @@
     ));
 }
 
-/// Seed 1006 of the soak: the agent may have reported the flow before it heard
-/// of the newer start that took it.
+/// Soak seed 1006: the agent may have reported the flow before it learned of the
+/// newer incarnation that accepted it.
 #[test]
-fn a_flow_whose_target_started_again_is_looked_for_beginning_there() {
-    let mut flows = balancer_with_start(TargetStart {
-        target: Some(IncarnationId::new(4)),
+fn a_lookup_starts_at_the_restarted_target_of_the_flow() {
+    let mut flows = balancer_with_incarnation(TargetIncarnation {
+        id: Some(IncarnationId::new(4)),
         ended: false,
     });
-    let (asked, others) = continued(&mut flows, 1);
+    let (asked, others) = send_data(&mut flows, 1);
     assert_eq!(asked, agent(2));
     assert_eq!(others.len(), 2);
-    // Once nobody holds it, it is gone.
-    assert!(matches!(walk(&mut flows).1, ReportStep::Reset(_)));
+    // If no target holds the flow, it is reset.
+    assert!(matches!(run_lookup(&mut flows).1, ReportStep::Reset(_)));
 }
 
 #[test]
-fn a_flow_of_a_target_that_is_only_silent_is_not_reset() {
+fn a_flow_of_a_silent_target_is_not_reset() {
     let mut flows = balancer();
     flows.take_report(&report(1, agent(2), ReportKind::Held), START);
-    let mut targets = known(HashMap::from([(service(), targets(&[1], &[1, 2]))]));
-    let same = TargetStart {
-        target: Some(START_OF_TARGET),
+    let mut targets = known_targets(HashMap::from([(service(), targets(&[1], &[1, 2]))]));
+    let same = TargetIncarnation {
+        id: Some(INCARNATION),
         ended: false,
     };
-    targets.starts.insert(agent(2), same);
+    targets.incarnations.insert(agent(2), same);
     flows.set_targets(targets);
-    assert_eq!(continued(&mut flows, 1).0, agent(2));
+    assert_eq!(send_data(&mut flows, 1).0, agent(2));
 }
 
 #[test]
-fn a_balancer_that_no_agent_answers_takes_itself_for_cut_off_until_one_does() {
+fn a_balancer_without_reports_is_isolated_until_an_agent_reports() {
     let mut flows = balancer();
-    open(&mut flows, 1, START);
+    send_opening(&mut flows, 1, START);
     for _ in 0..4 {
         assert!(!flows.is_isolated());
-        let due = flows.next_due().expect("a watched opening");
+        let due = flows.next_due().expect("a pending opening");
         assert_eq!(flows.expire_openings(due).len(), 1);
     }
     assert!(flows.is_isolated());
