--- a/src/fleet/entry_handle.rs
+++ b/src/fleet/entry_handle.rs
@@ -6,7 +6,7 @@
     },
 };
 
-use super::{FleetEvent, control_seat::ControlSeat, core_view::CoreView};
+use super::{FleetEvent, group_view::GroupView, local_replica::LocalReplica};
 use crate::{
     control::api::CallRefusal,
     event::log_event,
@@ -37,23 +37,23 @@
 /// What operators and the network's probes may ask of an entry VM.
 #[derive(Debug, Clone)]
 pub struct EntryHandle {
-    seat: Option<ControlSeat>,
-    core: CoreView,
-    calls: u16,
+    replica: Option<LocalReplica>,
+    group: GroupView,
+    operator_port: u16,
     ready: Arc<AtomicBool>,
 }
 
 impl EntryHandle {
     pub(super) fn new(
-        seat: Option<ControlSeat>,
-        core: CoreView,
-        calls: u16,
+        replica: Option<LocalReplica>,
+        group: GroupView,
+        operator_port: u16,
         ready: Arc<AtomicBool>,
     ) -> Self {
         Self {
-            seat,
-            core,
-            calls,
+            replica,
+            group,
+            operator_port,
             ready,
         }
     }
@@ -78,8 +78,8 @@
     ) -> Result<(), ApplyRefusal> {
         let version = manifest.version;
         let stored = StoredManifest { manifest, document };
-        let result = match &self.seat {
-            Some(seat) => match seat.apply(&stored).await {
+        let result = match &self.replica {
+            Some(replica) => match replica.apply(&stored).await {
                 Ok(()) => Ok(()),
                 Err(refusal) => Err(Self::redirect(&refusal)
                     .map_or(ApplyRefusal::Unavailable, ApplyRefusal::Redirect)),
@@ -105,15 +105,15 @@
     }
 
     async fn confirmed_document(&self) -> Result<Vec<u8>, ReadRefusal> {
-        let Some(seat) = &self.seat else {
+        let Some(replica) = &self.replica else {
             return Err(self
                 .any_member()
                 .map_or(ReadRefusal::Unavailable, ReadRefusal::Redirect));
         };
-        if seat.confirm_read().await.is_err() {
+        if replica.confirm_read().await.is_err() {
             return Err(ReadRefusal::Unavailable);
         }
-        let held = seat.store().current().ok_or(ReadRefusal::Empty)?;
+        let held = replica.store().current().ok_or(ReadRefusal::Empty)?;
         Ok(held.document.clone())
     }
 
@@ -128,9 +128,9 @@
     /// Returns the leader, or any replica.
     fn any_member(&self) -> Option<SocketAddrV4> {
         let member = self
-            .core
+            .group
             .leader()
-            .or_else(|| self.core.members().first().copied())?;
-        Some(SocketAddrV4::new(member, self.calls))
+            .or_else(|| self.group.members().first().copied())?;
+        Some(SocketAddrV4::new(member, self.operator_port))
     }
 }
--- a/src/fleet/entry_upkeep.rs
+++ b/src/fleet/entry_maintenance.rs
@@ -8,7 +8,10 @@
 
 use super::{
     EntryNode, FleetEvent,
-    entry_node::{CURRENT_MILLIS, SEEK_MILLIS, SETTINGS_MILLIS, UPKEEP_MILLIS},
+    entry_node::{
+        DISCOVERY_INTERVAL_MILLIS, MAINTENANCE_INTERVAL_MILLIS, MAX_CONTROL_AGE_MILLIS,
+        SETTINGS_REREAD_MILLIS,
+    },
     fleet_counters::publish_gauge,
     fleet_datagram::FleetDatagram,
     inspect_server::{InspectQuestion, Inspection},
@@ -17,34 +20,34 @@
 
 impl EntryNode {
     /// Does the timed work that is due.
-    pub(super) fn wake(&mut self) {
+    pub(super) fn run_due_work(&mut self) {
         let now = self.clock.now();
         for (flow, packet, to, header) in self.flows.expire_openings(now) {
-            if self.budget.allows(FleetEvent::FlowRetried, now) {
+            if self.log_limiter.allows(FleetEvent::FlowRetried, now) {
                 log_event!(warn, FleetEvent::FlowRetried, %flow, %to, hops = header.hops);
             }
             self.counters.resent += 1;
             self.forward(&packet, to, header);
         }
-        if now >= self.upkeep_at {
-            self.keep_up(now);
-            let pause = if self.is_current(now) {
-                UPKEEP_MILLIS
+        if now >= self.maintenance_at {
+            self.run_maintenance(now);
+            let pause = if self.is_control_fresh(now) {
+                MAINTENANCE_INTERVAL_MILLIS
             } else {
-                SEEK_MILLIS
+                DISCOVERY_INTERVAL_MILLIS
             };
-            self.upkeep_at = now.after(pause);
+            self.maintenance_at = now.after(pause);
         }
     }
 
     /// Does the slow work: expiry, discovery, readiness, metrics.
-    pub(super) fn keep_up(&mut self, now: ClockMillis) {
+    pub(super) fn run_maintenance(&mut self, now: ClockMillis) {
         if let Some(directory) = &self.directory {
-            directory.change(|directory| directory.expire(now));
-            if let Some(file) = &mut self.agents_file {
-                if let Some(known) = file.take_read() {
-                    self.recall.remember(&known, now);
-                    directory.change(|directory| {
+            directory.update(|directory| directory.expire(now));
+            if let Some(file) = &mut self.process_file {
+                if let Some(known) = file.poll_loaded() {
+                    self.restart_notifier.start(&known, now);
+                    directory.update(|directory| {
                         directory.await_agents(known.agents);
                         false
                     });
@@ -54,22 +57,22 @@
                 }
             }
         }
-        if let Some(seat) = &self.seat {
-            let members = seat.members();
-            let leader = seat.leader();
-            if self.core.meet(members, leader) {
-                log_event!(info, FleetEvent::CoreFound, members = ?self.core.members());
+        if let Some(replica) = &self.replica {
+            let members = replica.members();
+            let leader = replica.leader();
+            if self.group.update_members(members, leader) {
+                log_event!(info, FleetEvent::CoreFound, members = ?self.group.members());
             }
-            seat.meet_peers(&self.core.contacts());
+            replica.update_peers(&self.group.contacts());
         }
-        for process in self.recall.due(now) {
-            self.answer_members(process);
+        for process in self.restart_notifier.recipients(now) {
+            self.send_members(process);
         }
-        if !self.is_current(now) {
+        if !self.is_control_fresh(now) {
             self.flows.set_current(false);
-            self.locate_core();
-            if now >= self.settings_at {
-                self.settings_at = now.after(SETTINGS_MILLIS);
+            self.locate_group();
+            if now >= self.settings_reread_at {
+                self.settings_reread_at = now.after(SETTINGS_REREAD_MILLIS);
                 self.reread_settings();
             }
         }
@@ -79,7 +82,7 @@
         publish_gauge("cyclamen_entry_flows", self.flows.remembered());
         publish_gauge("cyclamen_entry_targets", self.view.len());
         publish_gauge("cyclamen_entry_suspects", self.flows.suspects());
-        if let Some(at) = self.current_at {
+        if let Some(at) = self.control_heard_at {
             histogram!("cyclamen_entry_control_age_ms").record(now.since(at).millis_float());
         }
     }
@@ -87,16 +90,16 @@
     /// Answers an operator's question.
     pub(super) fn answer_inspection(&self, inspection: Inspection) {
         let now = self.clock.now();
-        let reply = match inspection.question {
+        let reply = match inspection.request {
             InspectQuestion::Dump => json!({
                 "role": "entry",
                 "name": self.settings.name,
                 "domain": self.settings.domain,
                 "routes_version": self.flows.table().version(),
-                "control_age_ms": self.current_at.map(|at| now.since(at)),
-                "members": self.core.members(),
-                "leader": self.core.leader(),
-                "leaving": self.leaving,
+                "control_age_ms": self.control_heard_at.map(|at| now.since(at)),
+                "members": self.group.members(),
+                "leader": self.group.leader(),
+                "leaving": self.stopping,
                 "targets": self.view.records().collect::<Vec<_>>(),
                 "flows": self.flows.remembered(),
                 "suspects": self.flows.suspects(),
@@ -110,28 +113,28 @@
             }),
         };
         // An operator that went away needs no answer.
-        let _ = inspection.answer.send(reply);
+        let _ = inspection.reply_to.send(reply);
     }
 
     /// Returns whether a replica that hears a leader was heard lately.
-    pub(super) fn is_current(&self, now: ClockMillis) -> bool {
-        self.current_at
-            .is_some_and(|at| now.since(at) < CURRENT_MILLIS)
+    pub(super) fn is_control_fresh(&self, now: ClockMillis) -> bool {
+        self.control_heard_at
+            .is_some_and(|at| now.since(at) < MAX_CONTROL_AGE_MILLIS)
     }
 
     /// Asks every contact for the members of the control group.
-    pub(super) fn locate_core(&self) {
-        for contact in self.core.contacts() {
+    pub(super) fn locate_group(&self) {
+        for contact in self.group.contacts() {
             if contact != self.settings.address {
-                self.fleet.send(contact, &FleetDatagram::Locate);
+                self.fleet_socket.send(contact, &FleetDatagram::Locate);
             }
         }
     }
 
     /// Reads the seeds again.
     pub(super) fn reread_settings(&mut self) {
-        if let Some(seeds) = self.source.seeds()
-            && self.core.set_seeds(seeds.clone())
+        if let Some(seeds) = self.settings_source.seeds()
+            && self.group.set_seeds(seeds.clone())
         {
             log_event!(info, FleetEvent::SettingsReread, ?seeds);
         }
@@ -141,7 +144,7 @@
     pub(super) fn update_ready(&mut self) {
         // Cut off from control and agents alike, other balancers serve better.
         let cut_off = self.control_lost && self.flows.is_isolated();
-        let ready = !self.leaving && !cut_off && self.flows.is_ready();
+        let ready = !self.stopping && !cut_off && self.flows.is_ready();
         if ready != self.ready.swap(ready, Ordering::Relaxed) {
             let version = self.flows.table().version();
             let targets = self.view.len();
--- a/src/fleet/entry_node.rs
+++ b/src/fleet/entry_node.rs
@@ -13,17 +13,17 @@
 
 use super::{
     EntryHandle, FleetError, FleetEvent, FleetSettings, SettingsSource,
-    control_seat::ControlSeat,
-    core_view::CoreView,
-    directory_file::DirectoryFile,
     entry_sockets::{FleetSocket, open_socket},
     fleet_counters::EntryCounters,
     fleet_datagram::{FleetDatagram, MAX_DATAGRAM_BYTES},
+    group_view::GroupView,
     inspect_server::start_inspections,
-    log_budget::LogBudget,
-    process_recall::ProcessRecall,
+    local_replica::LocalReplica,
+    log_limiter::LogLimiter,
+    process_file::ProcessFile,
+    restart_notifier::RestartNotifier,
     watch_client::{WatchClient, WatchUpdate},
-    watch_frame::WatchNews,
+    watch_frame::WatchReply,
     watch_server::{SharedDirectory, WatchServer},
 };
 use crate::{
@@ -37,21 +37,21 @@
 /// The largest packet with its header.
 pub(super) const MAX_PACKET_BYTES: usize = 2_048;
 /// The packets that are taken before other work gets its turn.
-pub(super) const PACKETS_A_TURN: usize = 64;
+pub(super) const PACKETS_PER_TURN: usize = 64;
 /// How often slow work is done: expiry, discovery, sweeps.
-pub(super) const UPKEEP_MILLIS: SpanMillis = SpanMillis::new(250);
+pub(super) const MAINTENANCE_INTERVAL_MILLIS: SpanMillis = SpanMillis::new(250);
 /// How often it is done while the control group is not heard: all VMs may have
 /// just started together.
-pub(super) const SEEK_MILLIS: SpanMillis = SpanMillis::new(50);
+pub(super) const DISCOVERY_INTERVAL_MILLIS: SpanMillis = SpanMillis::new(50);
 /// How often the settings are read again while the control group is not heard.
-pub(super) const SETTINGS_MILLIS: SpanMillis = SpanMillis::new(1_000);
+pub(super) const SETTINGS_REREAD_MILLIS: SpanMillis = SpanMillis::new(1_000);
 /// How long a stopping process forwards packets: two missed probes of the
 /// network at two a second, and what is on its way.
-pub(super) const LEAVE_MILLIS: SpanMillis = SpanMillis::new(1_300);
+pub(super) const STOP_DELAY_MILLIS: SpanMillis = SpanMillis::new(1_300);
 /// How long routes count as current after the last word of a replica.
-pub(super) const CURRENT_MILLIS: SpanMillis = SpanMillis::new(1_500);
+pub(super) const MAX_CONTROL_AGE_MILLIS: SpanMillis = SpanMillis::new(1_500);
 /// The updates of the watch that wait.
-pub(super) const MAX_UPDATES: usize = 16;
+pub(super) const UPDATE_QUEUE_CAPACITY: usize = 16;
 
 /// The process on an entry VM: a balancer, and on VMs with a disk a replica of
 /// the control group.
@@ -59,57 +59,57 @@
 pub struct EntryNode {
     pub(super) settings: FleetSettings,
     pub(super) codec: Arc<dyn PacketCodec>,
-    pub(super) source: Arc<dyn SettingsSource>,
+    pub(super) settings_source: Arc<dyn SettingsSource>,
     pub(super) clock: ProcessClock,
-    pub(super) packets: UdpSocket,
-    pub(super) fleet: FleetSocket,
-    pub(super) core: CoreView,
-    pub(super) seat: Option<ControlSeat>,
+    pub(super) packet_socket: UdpSocket,
+    pub(super) fleet_socket: FleetSocket,
+    pub(super) group: GroupView,
+    pub(super) replica: Option<LocalReplica>,
     pub(super) directory: Option<SharedDirectory>,
-    pub(super) agents_file: Option<DirectoryFile>,
-    pub(super) recall: ProcessRecall,
+    pub(super) process_file: Option<ProcessFile>,
+    pub(super) restart_notifier: RestartNotifier,
     pub(super) flows: BalancerFlows,
     pub(super) view: TargetView,
     pub(super) ready: Arc<AtomicBool>,
-    pub(super) leaving: bool,
-    pub(super) current_at: Option<ClockMillis>,
+    pub(super) stopping: bool,
+    pub(super) control_heard_at: Option<ClockMillis>,
     /// Whether the replica that was followed has not answered.
     pub(super) control_lost: bool,
-    pub(super) upkeep_at: ClockMillis,
-    pub(super) settings_at: ClockMillis,
-    pub(super) budget: LogBudget,
+    pub(super) maintenance_at: ClockMillis,
+    pub(super) settings_reread_at: ClockMillis,
+    pub(super) log_limiter: LogLimiter,
     pub(super) counters: EntryCounters,
-    pub(super) frame: Vec<u8>,
+    pub(super) frame_buffer: Vec<u8>,
 }
 
 impl EntryNode {
     /// Opens the sockets and starts the replica, if the VM has a disk; it must
-    /// be called within the runtime. `calls` is the port for operators.
+    /// be called within the runtime. `operator_port` is the port for operators.
     ///
     /// # Errors
     ///
     /// Fails when an address can't be had.
     pub async fn start(
         settings: FleetSettings,
-        calls: u16,
+        operator_port: u16,
         codec: Arc<dyn PacketCodec>,
-        source: Arc<dyn SettingsSource>,
+        settings_source: Arc<dyn SettingsSource>,
     ) -> Result<(Self, EntryHandle), FleetError> {
         let clock = ProcessClock::new();
-        let core = CoreView::new(settings.seeds.clone());
-        let packets = open_socket(settings.packets, "packets of callers")?;
-        let fleet = FleetSocket::open(settings.listen_address(), settings.ports.datagrams)?;
-        let seat = match &settings.data_folder {
-            Some(folder) => Some(ControlSeat::start(&settings, calls, folder)?),
+        let group = GroupView::new(settings.seeds.clone());
+        let packet_socket = open_socket(settings.packet_address, "packets of callers")?;
+        let fleet_socket = FleetSocket::open(settings.listen_address(), settings.ports.datagrams)?;
+        let replica = match &settings.data_folder {
+            Some(folder) => Some(LocalReplica::start(&settings, operator_port, folder)?),
             None => None,
         };
-        let mut agents_file = None;
-        let directory = match (&seat, &settings.data_folder) {
-            (Some(seat), Some(folder)) => {
-                agents_file = Some(DirectoryFile::open(folder));
+        let mut process_file = None;
+        let directory = match (&replica, &settings.data_folder) {
+            (Some(replica), Some(folder)) => {
+                process_file = Some(ProcessFile::open(folder));
                 let directory = TargetDirectory::new(rand::random(), clock.now());
                 let shared = SharedDirectory::new(directory);
-                let server = WatchServer::new(seat.clone(), shared.clone(), clock);
+                let server = WatchServer::new(replica.clone(), shared.clone(), clock);
                 let address = SocketAddrV4::new(settings.listen_address(), settings.ports.watch);
                 server.start(address).await?;
                 Some(shared)
@@ -117,30 +117,35 @@
             _ => None,
         };
         let ready = Arc::new(AtomicBool::new(false));
-        let handle = EntryHandle::new(seat.clone(), core.clone(), calls, Arc::clone(&ready));
-        let table = ListenerTable::new(settings.flow_age);
+        let handle = EntryHandle::new(
+            replica.clone(),
+            group.clone(),
+            operator_port,
+            Arc::clone(&ready),
+        );
+        let table = ListenerTable::new(settings.max_flow_age);
         let node = Self {
-            flows: BalancerFlows::new(settings.address, table, settings.flow_age),
+            flows: BalancerFlows::new(settings.address, table, settings.max_flow_age),
             codec,
-            source,
+            settings_source,
             clock,
-            packets,
-            fleet,
-            core,
-            seat,
+            packet_socket,
+            fleet_socket,
+            group,
+            replica,
             directory,
-            agents_file,
-            recall: ProcessRecall::default(),
+            process_file,
+            restart_notifier: RestartNotifier::default(),
             view: TargetView::default(),
             ready,
-            leaving: false,
-            current_at: None,
+            stopping: false,
+            control_heard_at: None,
             control_lost: false,
-            upkeep_at: clock.now(),
-            settings_at: clock.now().after(SETTINGS_MILLIS),
-            budget: LogBudget::default(),
+            maintenance_at: clock.now(),
+            settings_reread_at: clock.now().after(SETTINGS_REREAD_MILLIS),
+            log_limiter: LogLimiter::default(),
             counters: EntryCounters::default(),
-            frame: Vec::with_capacity(MAX_PACKET_BYTES),
+            frame_buffer: Vec::with_capacity(MAX_PACKET_BYTES),
             settings,
         };
         Ok((node, handle))
@@ -154,11 +159,11 @@
     pub async fn run(mut self) -> Result<(), FleetError> {
         let mut terminate = signal(SignalKind::terminate()).map_err(FleetError::Signals)?;
         let mut hangup = signal(SignalKind::hangup()).map_err(FleetError::Signals)?;
-        let (sender, mut updates) = mpsc::channel(MAX_UPDATES);
+        let (sender, mut updates) = mpsc::channel(UPDATE_QUEUE_CAPACITY);
         let watch = WatchClient::new(
             self.settings.address,
             self.settings.ports.watch,
-            self.core.clone(),
+            self.group.clone(),
             sender,
         );
         tokio::spawn(watch.run());
@@ -173,22 +178,22 @@
             name = self.settings.name,
             address = %self.settings.address,
             domain = self.settings.domain,
-            replica = self.seat.is_some()
+            replica = self.replica.is_some()
         );
-        let mut leave_at: Option<Instant> = None;
+        let mut stop_at: Option<Instant> = None;
         loop {
-            let wake_at = self.wake_at();
+            let next_work_at = self.next_work_at();
             tokio::select! {
-                _ = self.packets.readable() => self.take_packets(),
-                _ = self.fleet.readable() => self.take_datagrams(),
-                Some(update) = updates.recv() => self.take_update(update),
+                _ = self.packet_socket.readable() => self.receive_packets(),
+                _ = self.fleet_socket.readable() => self.receive_datagrams(),
+                Some(update) = updates.recv() => self.handle_update(update),
                 Some(inspection) = inspections.recv() => self.answer_inspection(inspection),
-                () = sleep_until(wake_at) => self.wake(),
-                () = stop_asked(&mut terminate), if leave_at.is_none() => {
-                    leave_at = Some(self.begin_leaving());
+                () = sleep_until(next_work_at) => self.run_due_work(),
+                () = wait_for_signal(&mut terminate), if stop_at.is_none() => {
+                    stop_at = Some(self.begin_stop());
                 }
-                () = stop_asked(&mut hangup) => self.reread_settings(),
-                () = sleep_until(leave_at.unwrap_or(wake_at)), if leave_at.is_some() => break,
+                () = wait_for_signal(&mut hangup) => self.reread_settings(),
+                () = sleep_until(stop_at.unwrap_or(next_work_at)), if stop_at.is_some() => break,
             }
         }
         log_event!(
@@ -199,62 +204,62 @@
         Ok(())
     }
 
-    fn begin_leaving(&mut self) -> Instant {
+    fn begin_stop(&mut self) -> Instant {
         log_event!(info, FleetEvent::StopBegun);
-        self.leaving = true;
+        self.stopping = true;
         self.update_ready();
-        if let Some(seat) = self.seat.clone() {
-            tokio::spawn(async move { seat.step_aside().await });
+        if let Some(replica) = self.replica.clone() {
+            tokio::spawn(async move { replica.step_aside().await });
         }
         let most = self.settings.grace.less(SpanMillis::new(1_500));
-        Instant::now() + LEAVE_MILLIS.min(most).duration()
+        Instant::now() + STOP_DELAY_MILLIS.min(most).duration()
     }
 
     /// Returns when the next timed work is due.
-    fn wake_at(&self) -> Instant {
+    fn next_work_at(&self) -> Instant {
         let now = self.clock.now();
         let next = self
             .flows
             .next_due()
-            .map_or(self.upkeep_at, |due| due.min(self.upkeep_at));
+            .map_or(self.maintenance_at, |due| due.min(self.maintenance_at));
         Instant::now() + next.since(now).duration().max(Duration::from_millis(1))
     }
 
-    fn take_datagrams(&mut self) {
+    fn receive_datagrams(&mut self) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
-        for _ in 0..PACKETS_A_TURN {
-            let Some((length, from)) = self.fleet.receive(&mut buffer) else {
+        for _ in 0..PACKETS_PER_TURN {
+            let Some((length, from)) = self.fleet_socket.receive(&mut buffer) else {
                 return;
             };
             let SocketAddr::V4(from) = from else { continue };
             if let Some(datagram) = FleetDatagram::decode(&buffer[..length]) {
-                self.take_datagram(&datagram, *from.ip());
+                self.handle_datagram(&datagram, *from.ip());
             }
         }
     }
 
-    fn take_datagram(&mut self, datagram: &FleetDatagram, from: Ipv4Addr) {
+    fn handle_datagram(&mut self, datagram: &FleetDatagram, from: Ipv4Addr) {
         let now = self.clock.now();
         match datagram {
             FleetDatagram::Announce(record) => {
-                self.recall.hear(record.agent);
+                self.restart_notifier.note_heard(record.agent);
                 if let Some(directory) = &self.directory {
-                    directory.change(|directory| directory.announce(*record, now));
+                    directory.update(|directory| directory.announce(*record, now));
                 }
-                self.answer_members(from);
+                self.send_members(from);
             }
             FleetDatagram::Locate => {
-                self.recall.hear(from);
-                self.answer_members(from);
+                self.restart_notifier.note_heard(from);
+                self.send_members(from);
             }
             FleetDatagram::Located { members } => {
-                if self.core.meet(members.clone(), None) {
+                if self.group.update_members(members.clone(), None) {
                     log_event!(info, FleetEvent::CoreFound, ?members, %from);
                 }
             }
             FleetDatagram::Report(report) => {
-                self.answer_report(report, now);
-                if self.budget.allows(FleetEvent::ReportTaken, now) {
+                self.handle_report(report, now);
+                if self.log_limiter.allows(FleetEvent::ReportTaken, now) {
                     log_event!(info, FleetEvent::ReportTaken, flow = %report.flow, agent = %report.agent, kind = ?report.kind);
                 }
             }
@@ -262,16 +267,17 @@
     }
 
     /// Tells another process who belongs to the control group, if that is known.
-    pub(super) fn answer_members(&self, to: Ipv4Addr) {
-        let members = self.core.members();
+    pub(super) fn send_members(&self, to: Ipv4Addr) {
+        let members = self.group.members();
         if !members.is_empty() {
-            self.fleet.send(to, &FleetDatagram::Located { members });
+            self.fleet_socket
+                .send(to, &FleetDatagram::Located { members });
         }
     }
 
-    fn take_update(&mut self, update: WatchUpdate) {
+    fn handle_update(&mut self, update: WatchUpdate) {
         match update {
-            WatchUpdate::News(news) => self.take_news(*news),
+            WatchUpdate::Reply(reply) => self.apply_reply(*reply),
             WatchUpdate::Lost { replica, cause } => {
                 self.control_lost = true;
                 self.update_ready();
@@ -280,19 +286,19 @@
         }
     }
 
-    fn take_news(&mut self, news: WatchNews) {
+    fn apply_reply(&mut self, reply: WatchReply) {
         let now = self.clock.now();
         let could_end = self.flows.can_end_flows();
         let mut learned = false;
         self.control_lost = false;
-        if news.current {
-            self.current_at = Some(now);
+        if reply.caught_up {
+            self.control_heard_at = Some(now);
             self.flows.set_current(true);
         }
-        if self.core.meet(news.members, news.leader) {
-            log_event!(info, FleetEvent::CoreFound, members = ?self.core.members());
+        if self.group.update_members(reply.members, reply.leader) {
+            log_event!(info, FleetEvent::CoreFound, members = ?self.group.members());
         }
-        if let Some(routes) = news.routes
+        if let Some(routes) = reply.routes
             && self.flows.table_mut().replace(&routes, now)
         {
             log_event!(
@@ -303,7 +309,7 @@
             );
             learned = true;
         }
-        if let Some(targets) = news.targets {
+        if let Some(targets) = reply.targets {
             for record in self.view.take_news(targets) {
                 learned = true;
                 log_event!(info, FleetEvent::TargetChanged, agent = %record.agent, service = %record.service, standing = ?record.standing);
@@ -312,13 +318,13 @@
         }
         self.update_ready();
         if learned || self.flows.can_end_flows() != could_end {
-            self.take_parked();
+            self.retry_parked();
         }
     }
 }
 
 /// Waits for a signal; a closed stream of signals never brings one.
-pub(super) async fn stop_asked(signals: &mut Signal) {
+pub(super) async fn wait_for_signal(signals: &mut Signal) {
     if signals.recv().await.is_none() {
         std::future::pending::<()>().await;
     }
--- a/src/fleet/entry_packets.rs
+++ b/src/fleet/entry_packets.rs
@@ -6,7 +6,7 @@
 
 use super::{
     EntryNode, FleetEvent,
-    entry_node::{MAX_PACKET_BYTES, PACKETS_A_TURN},
+    entry_node::{MAX_PACKET_BYTES, PACKETS_PER_TURN},
 };
 use crate::{
     clock::{ClockMillis, SpanMillis},
@@ -16,30 +16,30 @@
 
 impl EntryNode {
     /// Takes the packets that have arrived, some at a time.
-    pub(super) fn take_packets(&mut self) {
+    pub(super) fn receive_packets(&mut self) {
         let mut buffer = [0; MAX_PACKET_BYTES];
-        for _ in 0..PACKETS_A_TURN {
-            match self.packets.try_recv_from(&mut buffer) {
-                Ok((length, _)) => self.take_packet(&buffer[..length]),
+        for _ in 0..PACKETS_PER_TURN {
+            match self.packet_socket.try_recv_from(&mut buffer) {
+                Ok((length, _)) => self.handle_packet(&buffer[..length]),
                 Err(_) => return,
             }
         }
     }
 
     /// Counts a packet of a caller and decides on it.
-    pub(super) fn take_packet(&mut self, bytes: &[u8]) {
+    pub(super) fn handle_packet(&mut self, bytes: &[u8]) {
         self.counters.received += 1;
-        self.decide_packet(bytes, SpanMillis::ZERO);
+        self.dispatch_packet(bytes, SpanMillis::ZERO);
     }
 
     /// Forwards, refuses or keeps one packet, which arrived `kept` ago.
-    fn decide_packet(&mut self, bytes: &[u8], kept: SpanMillis) {
+    fn dispatch_packet(&mut self, bytes: &[u8], kept: SpanMillis) {
         let now = self.clock.now();
         let mut packet = match self.codec.decode(bytes) {
             Ok(packet) => packet,
             Err(fault) => {
                 self.counters.undecodable += 1;
-                if self.budget.allows(FleetEvent::DatagramRefused, now) {
+                if self.log_limiter.allows(FleetEvent::DatagramRefused, now) {
                     log_event!(warn, FleetEvent::DatagramRefused, %fault);
                 }
                 return;
@@ -65,9 +65,9 @@
     }
 
     /// Decides again on the packets that waited for routes or targets.
-    pub(super) fn take_parked(&mut self) {
+    pub(super) fn retry_parked(&mut self) {
         for (kept, packet) in self.flows.take_parked(self.clock.now()) {
-            self.decide_packet(&packet, kept);
+            self.dispatch_packet(&packet, kept);
         }
     }
 
@@ -89,7 +89,7 @@
             self.counters.looked += 1;
             FleetEvent::FlowLooked
         };
-        if self.budget.allows(event, now) {
+        if self.log_limiter.allows(event, now) {
             let flow = packet.caller_flow();
             let version = self.flows.table().version();
             let suspects = self.flows.suspects();
@@ -105,7 +105,7 @@
         cause: RefusalCause,
         now: ClockMillis,
     ) {
-        if self.budget.allows(event, now) {
+        if self.log_limiter.allows(event, now) {
             let flow = packet.caller_flow();
             let version = self.flows.table().version();
             tracing::info!(event = event.number(), %flow, ?cause, version, "{}", event.message());
@@ -114,12 +114,12 @@
 
     /// Sends a packet to an agent.
     pub(super) fn forward(&mut self, packet: &[u8], to: Ipv4Addr, header: HopHeader) {
-        header.encode(packet, &mut self.frame);
-        let address = SocketAddrV4::new(to, self.settings.packets.port());
+        header.encode(packet, &mut self.frame_buffer);
+        let address = SocketAddrV4::new(to, self.settings.packet_address.port());
         // A frame that the kernel does not take is lost, as any may be.
         match self
-            .packets
-            .try_send_to(&self.frame, SocketAddr::V4(address))
+            .packet_socket
+            .try_send_to(&self.frame_buffer, SocketAddr::V4(address))
         {
             Ok(_) => self.counters.forwarded += 1,
             Err(_) => self.counters.unsent += 1,
@@ -128,10 +128,10 @@
 
     /// Sends a reset to a caller.
     pub(super) fn send_to_caller(&mut self, caller: Ipv4Addr, bytes: &[u8]) {
-        let address = SocketAddrV4::new(caller, self.settings.packets.port());
+        let address = SocketAddrV4::new(caller, self.settings.packet_address.port());
         // The caller repeats what it gets no answer to.
         if self
-            .packets
+            .packet_socket
             .try_send_to(bytes, SocketAddr::V4(address))
             .is_err()
         {
@@ -140,7 +140,7 @@
     }
 
     /// Takes an agent's report and sends what follows from it.
-    pub(super) fn answer_report(&mut self, report: &FlowReport, now: ClockMillis) {
+    pub(super) fn handle_report(&mut self, report: &FlowReport, now: ClockMillis) {
         if let Some(waited) = self.flows.opening_age(report.flow, now) {
             histogram!("cyclamen_entry_opening_ms").record(waited.millis_float());
         }
@@ -151,7 +151,7 @@
                 self.counters.ended += 1;
                 let answer = self.codec.encode_reset(&reset);
                 self.send_to_caller(*reset.flow.caller.ip(), &answer);
-                if self.budget.allows(FleetEvent::FlowEnded, now) {
+                if self.log_limiter.allows(FleetEvent::FlowEnded, now) {
                     log_event!(info, FleetEvent::FlowEnded, flow = %reset.flow, targets = self.view.len());
                 }
             }
--- a/src/fleet/fleet_settings.rs
+++ b/src/fleet/fleet_settings.rs
@@ -46,17 +46,17 @@
     /// VMs to ask first; the port is where they answer operators.
     pub seeds: Vec<SocketAddrV4>,
     /// Whether the whole deployment starts for the first time.
-    pub first_start: bool,
+    pub bootstrap: bool,
     /// The folder of the control replica, on VMs with a disk.
     pub data_folder: Option<PathBuf>,
     /// How many control replicas may be lost at once.
     pub tolerated_losses: usize,
     /// Where packets arrive, from callers or from balancers.
-    pub packets: SocketAddrV4,
+    pub packet_address: SocketAddrV4,
     /// How long a stopping process may take.
     pub grace: SpanMillis,
     /// The age from which a flow may be forgotten.
-    pub flow_age: SpanMillis,
+    pub max_flow_age: SpanMillis,
 }
 
 impl FleetSettings {
@@ -64,7 +64,7 @@
     /// address where something forwards to it.
     #[must_use]
     pub const fn listen_address(&self) -> Ipv4Addr {
-        *self.packets.ip()
+        *self.packet_address.ip()
     }
 }
 
--- a/src/fleet/core_view.rs
+++ b/src/fleet/group_view.rs
@@ -7,24 +7,24 @@
 
 /// What a process knows of the control group; clones share it.
 #[derive(Debug, Clone)]
-pub(super) struct CoreView {
-    known: Arc<Mutex<KnownCore>>,
+pub(super) struct GroupView {
+    known: Arc<Mutex<GroupState>>,
     changes: Arc<Notify>,
 }
 
 #[derive(Debug, Default)]
-struct KnownCore {
+struct GroupState {
     seeds: Vec<SocketAddrV4>,
     members: Vec<Ipv4Addr>,
     leader: Option<Ipv4Addr>,
 }
 
-impl CoreView {
+impl GroupView {
     /// Creates the view of a process that knows only seeds.
     pub(super) fn new(seeds: Vec<SocketAddrV4>) -> Self {
-        let known = KnownCore {
+        let known = GroupState {
             seeds,
-            ..KnownCore::default()
+            ..GroupState::default()
         };
         Self {
             known: Arc::new(Mutex::new(known)),
@@ -44,7 +44,7 @@
     /// Takes the members that somebody knows; an empty list says nothing.
     ///
     /// Returns whether the members are others.
-    pub(super) fn meet(&self, members: Vec<Ipv4Addr>, leader: Option<Ipv4Addr>) -> bool {
+    pub(super) fn update_members(&self, members: Vec<Ipv4Addr>, leader: Option<Ipv4Addr>) -> bool {
         let other = self.with(|known| {
             if members.is_empty() {
                 return false;
@@ -88,7 +88,7 @@
         })
     }
 
-    fn with<T>(&self, look: impl FnOnce(&mut KnownCore) -> T) -> T {
+    fn with<T>(&self, look: impl FnOnce(&mut GroupState) -> T) -> T {
         look(&mut self.known.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
--- a/src/fleet/inspect_server.rs
+++ b/src/fleet/inspect_server.rs
@@ -13,9 +13,9 @@
 use crate::{clock::SpanMillis, flow::FlowKey};
 
 /// The largest question in bytes.
-const MAX_QUESTION_BYTES: u64 = 4_096;
+const MAX_REQUEST_BYTES: u64 = 4_096;
 /// How long an inspection may take.
-const INSPECT_MILLIS: SpanMillis = SpanMillis::new(2_000);
+const INSPECT_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(2_000);
 /// The most inspections at a time.
 const MAX_INSPECTIONS: usize = 4;
 /// The pause after the system refused to hand over a connection.
@@ -35,9 +35,9 @@
 #[derive(Debug)]
 pub(super) struct Inspection {
     /// The question.
-    pub(super) question: InspectQuestion,
-    /// Takes the answer.
-    pub(super) answer: oneshot::Sender<Value>,
+    pub(super) request: InspectQuestion,
+    /// Where the answer goes.
+    pub(super) reply_to: oneshot::Sender<Value>,
 }
 
 /// Starts to answer questions at `address`; returns where they arrive. It must
@@ -52,7 +52,7 @@
             purpose: "inspections",
             cause,
         })?;
-    let (questions, inspections) = mpsc::channel(MAX_INSPECTIONS);
+    let (requests, inspections) = mpsc::channel(MAX_INSPECTIONS);
     tokio::spawn(async move {
         let permits = Arc::new(Semaphore::new(MAX_INSPECTIONS));
         loop {
@@ -63,10 +63,14 @@
             let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
                 continue;
             };
-            let questions = questions.clone();
+            let requests = requests.clone();
             tokio::spawn(async move {
                 // An operator that went away asks again.
-                let _ = timeout(INSPECT_MILLIS.duration(), inspect(stream, questions)).await;
+                let _ = timeout(
+                    INSPECT_TIMEOUT_MILLIS.duration(),
+                    serve_inspection(stream, requests),
+                )
+                .await;
                 drop(permit);
             });
         }
@@ -74,22 +78,25 @@
     Ok(inspections)
 }
 
-async fn inspect(stream: TcpStream, questions: mpsc::Sender<Inspection>) -> std::io::Result<()> {
+async fn serve_inspection(
+    stream: TcpStream,
+    requests: mpsc::Sender<Inspection>,
+) -> std::io::Result<()> {
     let (read_half, mut write_half) = stream.into_split();
     let mut line = String::new();
-    BufReader::new(read_half.take(MAX_QUESTION_BYTES))
+    BufReader::new(read_half.take(MAX_REQUEST_BYTES))
         .read_line(&mut line)
         .await?;
     let reply = match serde_json::from_str(&line) {
-        Ok(question) => ask(question, &questions).await,
+        Ok(request) => forward_request(request, &requests).await,
         Err(error) => serde_json::json!({ "error": error.to_string() }),
     };
     write_half.write_all(format!("{reply}\n").as_bytes()).await
 }
 
-async fn ask(question: InspectQuestion, questions: &mpsc::Sender<Inspection>) -> Value {
-    let (answer, reply) = oneshot::channel();
-    let sent = questions.send(Inspection { question, answer }).await;
+async fn forward_request(request: InspectQuestion, requests: &mpsc::Sender<Inspection>) -> Value {
+    let (reply_to, reply) = oneshot::channel();
+    let sent = requests.send(Inspection { request, reply_to }).await;
     match (sent, reply.await) {
         (Ok(()), Ok(value)) => value,
         _ => serde_json::json!({ "error": "the process is stopping" }),
@@ -103,15 +110,15 @@
 /// Fails when it is not reached within two seconds, or answers no JSON.
 pub async fn inspect_process(
     address: SocketAddrV4,
-    question: InspectQuestion,
+    request: InspectQuestion,
 ) -> std::io::Result<Value> {
     let exchange = async {
         let mut stream = TcpStream::connect(address).await?;
-        let line = serde_json::to_string(&question)?;
+        let line = serde_json::to_string(&request)?;
         stream.write_all(format!("{line}\n").as_bytes()).await?;
         let mut reply = String::new();
         stream.read_to_string(&mut reply).await?;
         Ok(serde_json::from_str(&reply)?)
     };
-    timeout(INSPECT_MILLIS.duration(), exchange).await?
+    timeout(INSPECT_TIMEOUT_MILLIS.duration(), exchange).await?
 }
--- a/src/fleet/control_seat.rs
+++ b/src/fleet/local_replica.rs
@@ -25,21 +25,21 @@
 
 /// The control replica of a VM with a disk.
 #[derive(Debug, Clone)]
-pub(super) struct ControlSeat {
+pub(super) struct LocalReplica {
     store: ListenerStore,
     /// The replica, once its data folder is open.
     replica: watch::Receiver<Option<ReplicaHandle>>,
 }
 
-impl ControlSeat {
+impl LocalReplica {
     /// Starts to open the data folder, which may take as long as the disk
     /// stalls. It must be called within the runtime.
     pub(super) fn start(
         settings: &FleetSettings,
-        calls: u16,
+        operator_port: u16,
         folder: &Path,
     ) -> Result<Self, FleetError> {
-        let options = replica_options(settings, calls, folder.join(LOG_FOLDER));
+        let options = replica_options(settings, operator_port, folder.join(LOG_FOLDER));
         let secret = SecretStore::new(&network_secret())?;
         let store = ListenerStore::new();
         let (opened, replica) = watch::channel(None);
@@ -98,7 +98,7 @@
     }
 
     /// Names the places to ask for admission.
-    pub(super) fn meet_peers(&self, members: &[Ipv4Addr]) {
+    pub(super) fn update_peers(&self, members: &[Ipv4Addr]) {
         if let Some(replica) = self.handle() {
             replica.meet_peers(members.iter().copied().map(ReplicaId::at).collect());
         }
@@ -143,7 +143,11 @@
     }
 }
 
-fn replica_options(settings: &FleetSettings, calls: u16, folder: PathBuf) -> ReplicaOptions {
+fn replica_options(
+    settings: &FleetSettings,
+    operator_port: u16,
+    folder: PathBuf,
+) -> ReplicaOptions {
     let seeds = settings.seeds.iter().map(|seed| *seed.ip());
     let is_seed = seeds.clone().any(|seed| seed == settings.address);
     let peers = seeds
@@ -151,7 +155,7 @@
         .map(|seed| PeerAddress {
             replica: ReplicaId::at(seed),
             link: SocketAddrV4::new(seed, settings.ports.links),
-            calls: SocketAddrV4::new(seed, calls),
+            calls: SocketAddrV4::new(seed, operator_port),
         });
     ReplicaOptions {
         own: ReplicaId::at(settings.address),
@@ -162,11 +166,11 @@
         peers: peers.collect(),
         ports: Some(PeerPorts {
             link: settings.ports.links,
-            calls,
+            calls: operator_port,
         }),
         folder,
         admission: GroupAdmission::Open {
-            founds: settings.first_start && is_seed,
+            founds: settings.bootstrap && is_seed,
             least_voters: 2 * settings.tolerated_losses + 1,
         },
         disk_faults: DiskFaultPolicy::Retry,
--- a/src/fleet/log_budget.rs
+++ b/src/fleet/log_limiter.rs
@@ -7,32 +7,35 @@
 };
 
 /// The lines of one event that are written in a second; the rest is counted.
-const LINES_A_SECOND: u32 = 50;
+const MAX_LINES_PER_SECOND: u32 = 50;
 /// The time that a budget is for.
 const WINDOW_MILLIS: SpanMillis = SpanMillis::new(1_000);
 
 /// Bounds the lines that packets cause, and tells how many were left out.
 #[derive(Debug, Default)]
-pub(super) struct LogBudget {
-    window_at: ClockMillis,
-    written: BTreeMap<u16, u32>,
+pub(super) struct LogLimiter {
+    window_start: ClockMillis,
+    line_counts: BTreeMap<u16, u32>,
 }
 
-impl LogBudget {
+impl LogLimiter {
     /// Returns whether a line of `event` may be written now.
     pub(super) fn allows(&mut self, event: FleetEvent, now: ClockMillis) -> bool {
-        if now.since(self.window_at) >= WINDOW_MILLIS {
+        if now.since(self.window_start) >= WINDOW_MILLIS {
             self.close_window(now);
         }
-        let lines = self.written.entry(event.number()).or_default();
+        let lines = self.line_counts.entry(event.number()).or_default();
         *lines += 1;
-        *lines <= LINES_A_SECOND
+        *lines <= MAX_LINES_PER_SECOND
     }
 
     fn close_window(&mut self, now: ClockMillis) {
-        self.window_at = now;
-        for (number, lines) in std::mem::take(&mut self.written) {
-            if let Some(omitted) = lines.checked_sub(LINES_A_SECOND).filter(|lines| *lines > 0) {
+        self.window_start = now;
+        for (number, lines) in std::mem::take(&mut self.line_counts) {
+            if let Some(omitted) = lines
+                .checked_sub(MAX_LINES_PER_SECOND)
+                .filter(|lines| *lines > 0)
+            {
                 log_event!(warn, FleetEvent::LinesOmitted, of = number, omitted);
             }
         }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -5,22 +5,22 @@
 //! sockets, clocks and tasks; decisions are made in `flow`, `directory`,
 //! `listener` and `control`.
 
-mod control_seat;
-mod core_view;
-mod directory_file;
 mod entry_handle;
+mod entry_maintenance;
 mod entry_node;
 mod entry_packets;
 mod entry_sockets;
-mod entry_upkeep;
 mod fleet_counters;
 mod fleet_datagram;
 mod fleet_error;
 mod fleet_event;
 mod fleet_settings;
+mod group_view;
 mod inspect_server;
-mod log_budget;
-mod process_recall;
+mod local_replica;
+mod log_limiter;
+mod process_file;
+mod restart_notifier;
 mod settings_source;
 mod side_handle;
 mod side_node;
--- a/src/fleet/directory_file.rs
+++ b/src/fleet/process_file.rs
@@ -4,7 +4,7 @@
     thread,
 };
 
-use super::{FleetEvent, process_recall::KnownProcesses};
+use super::{FleetEvent, restart_notifier::KnownProcesses};
 use crate::{
     control::journal::{read_file, replace_file},
     event::log_event,
@@ -16,13 +16,13 @@
 /// Remembers which processes run, so that a replica that starts again tells them
 /// where it is and knows when it has heard every agent. It is a hint: a lost file costs only time.
 #[derive(Debug)]
-pub(super) struct DirectoryFile {
+pub(super) struct ProcessFile {
     read: Receiver<KnownProcesses>,
     writes: Sender<KnownProcesses>,
-    written: KnownProcesses,
+    last_written: KnownProcesses,
 }
 
-impl DirectoryFile {
+impl ProcessFile {
     /// Starts the thread that reads the file once and writes it from then on,
     /// since a disk may stall.
     pub(super) fn open(folder: &Path) -> Self {
@@ -42,21 +42,21 @@
         Self {
             read,
             writes,
-            written: KnownProcesses::default(),
+            last_written: KnownProcesses::default(),
         }
     }
 
     /// Returns, once, the processes that ran when the file was last written.
-    pub(super) fn take_read(&mut self) -> Option<KnownProcesses> {
+    pub(super) fn poll_loaded(&mut self) -> Option<KnownProcesses> {
         let known = self.read.try_recv().ok()?;
-        self.written.clone_from(&known);
+        self.last_written.clone_from(&known);
         Some(known)
     }
 
     /// Has the file name these processes, unless it does.
     pub(super) fn write(&mut self, known: KnownProcesses) {
-        if known != self.written {
-            self.written.clone_from(&known);
+        if known != self.last_written {
+            self.last_written.clone_from(&known);
             // Without its thread the file stays old, which costs only time.
             let _ = self.writes.send(known);
         }
--- a/src/fleet/side_handle.rs
+++ b/src/fleet/side_handle.rs
@@ -24,7 +24,7 @@
     /// Whether it takes new flows.
     pub state: TargetState,
     /// How much longer it works slowly after its start.
-    pub warm_in: SpanMillis,
+    pub warm_up_left: SpanMillis,
     /// How many requests it works on at a time, if it says so.
     pub slots: Option<u32>,
 }
@@ -61,7 +61,7 @@
 
     /// Takes word that the target called `id` has ended; returns whether the
     /// agent acts on it.
-    pub async fn end(&self, id: String) -> bool {
+    pub async fn note_ended(&self, id: String) -> bool {
         let (answer, verdict) = oneshot::channel();
         let command = SideCommand::End { id, answer };
         self.commands.send(command).await.is_ok() && verdict.await.is_ok()
--- a/src/fleet/side_node.rs
+++ b/src/fleet/side_node.rs
@@ -10,13 +10,13 @@
 
 use super::{
     FleetError, FleetEvent, SettingsSource, SideHandle, SideSettings,
-    core_view::CoreView,
-    entry_node::stop_asked,
+    entry_node::wait_for_signal,
     entry_sockets::{FleetSocket, open_socket},
     fleet_counters::SideCounters,
     fleet_datagram::{FleetDatagram, MAX_DATAGRAM_BYTES},
+    group_view::GroupView,
     inspect_server::{InspectQuestion, Inspection, start_inspections},
-    log_budget::LogBudget,
+    log_limiter::LogLimiter,
     side_handle::SideCommand,
     target_tracker::TargetTracker,
 };
@@ -32,7 +32,7 @@
 /// The largest frame: packet, header and candidates.
 pub(super) const MAX_FRAME_BYTES: usize = 2_048;
 /// The packets that are taken before other work gets its turn.
-pub(super) const PACKETS_A_TURN: usize = 64;
+pub(super) const PACKETS_PER_TURN: usize = 64;
 /// The shortest time between two announcements; a change is repeated at once,
 /// since datagrams may be lost.
 pub(super) const REPEAT_MILLIS: SpanMillis = SpanMillis::new(100);
@@ -43,9 +43,9 @@
 /// How often a change is repeated.
 pub(super) const CHANGE_REPEATS: u32 = 2;
 /// The calls of the target that wait.
-pub(super) const MAX_COMMANDS: usize = 64;
+pub(super) const QUEUE_CAPACITY: usize = 64;
 /// The silence of the control group after which it is looked for.
-pub(super) const LOST_MILLIS: SpanMillis = SpanMillis::new(1_500);
+pub(super) const GROUP_LOST_MILLIS: SpanMillis = SpanMillis::new(1_500);
 
 /// The process beside a target.
 #[derive(Debug)]
@@ -53,26 +53,26 @@
     pub(super) settings: SideSettings,
     pub(super) service: ServiceTag,
     pub(super) codec: Arc<dyn PacketCodec>,
-    pub(super) source: Arc<dyn SettingsSource>,
+    pub(super) settings_source: Arc<dyn SettingsSource>,
     pub(super) clock: ProcessClock,
-    pub(super) frames: UdpSocket,
-    pub(super) outbound: UdpSocket,
-    pub(super) fleet: FleetSocket,
-    pub(super) core: CoreView,
-    pub(super) core_heard_at: ClockMillis,
+    pub(super) frame_socket: UdpSocket,
+    pub(super) target_socket: UdpSocket,
+    pub(super) fleet_socket: FleetSocket,
+    pub(super) group: GroupView,
+    pub(super) group_heard_at: ClockMillis,
     pub(super) flows: AgentFlows,
     pub(super) tracker: TargetTracker,
-    pub(super) run: u64,
+    pub(super) agent_run: u64,
     pub(super) sequence: u64,
     pub(super) announced: Option<(TargetStanding, Option<IncarnationId>)>,
-    pub(super) repeats: u32,
+    pub(super) repeats_left: u32,
     pub(super) announce_at: ClockMillis,
     pub(super) probe_at: ClockMillis,
     pub(super) probes: mpsc::Sender<bool>,
     pub(super) commands: mpsc::Receiver<SideCommand>,
-    pub(super) budget: LogBudget,
+    pub(super) log_limiter: LogLimiter,
     pub(super) counters: SideCounters,
-    pub(super) frame: Vec<u8>,
+    pub(super) frame_buffer: Vec<u8>,
 }
 
 impl SideNode {
@@ -84,36 +84,36 @@
     pub fn start(
         settings: SideSettings,
         codec: Arc<dyn PacketCodec>,
-        source: Arc<dyn SettingsSource>,
+        settings_source: Arc<dyn SettingsSource>,
     ) -> Result<(Self, SideHandle), FleetError> {
         let clock = ProcessClock::new();
         let now = clock.now();
         let fleet = &settings.fleet;
         let service = ServiceTag::of(&settings.service);
-        let (sender, commands) = mpsc::channel(MAX_COMMANDS);
+        let (sender, commands) = mpsc::channel(QUEUE_CAPACITY);
         let node = Self {
             service,
             codec,
-            source,
+            settings_source,
             clock,
-            frames: open_socket(fleet.packets, "frames of balancers")?,
-            outbound: open_socket(settings.outbound, "packets of the target")?,
-            fleet: FleetSocket::open(fleet.listen_address(), fleet.ports.datagrams)?,
-            core: CoreView::new(fleet.seeds.clone()),
-            core_heard_at: now,
-            flows: AgentFlows::new(fleet.address, service, rand::random(), fleet.flow_age),
+            frame_socket: open_socket(fleet.packet_address, "frames of balancers")?,
+            target_socket: open_socket(settings.outbound, "packets of the target")?,
+            fleet_socket: FleetSocket::open(fleet.listen_address(), fleet.ports.datagrams)?,
+            group: GroupView::new(fleet.seeds.clone()),
+            group_heard_at: now,
+            flows: AgentFlows::new(fleet.address, service, rand::random(), fleet.max_flow_age),
             tracker: TargetTracker::new(settings.heartbeat, now),
-            run: rand::random(),
+            agent_run: rand::random(),
             sequence: 0,
             announced: None,
-            repeats: 0,
+            repeats_left: 0,
             announce_at: now,
             probe_at: now,
             probes: mpsc::channel(1).0,
             commands,
-            budget: LogBudget::default(),
+            log_limiter: LogLimiter::default(),
             counters: SideCounters::default(),
-            frame: Vec::with_capacity(MAX_FRAME_BYTES),
+            frame_buffer: Vec::with_capacity(MAX_FRAME_BYTES),
             settings,
         };
         Ok((node, SideHandle { commands: sender }))
@@ -127,7 +127,7 @@
     pub async fn run(mut self) -> Result<(), FleetError> {
         let mut terminate = signal(SignalKind::terminate()).map_err(FleetError::Signals)?;
         let mut hangup = signal(SignalKind::hangup()).map_err(FleetError::Signals)?;
-        let (probes, mut presence) = mpsc::channel(MAX_COMMANDS);
+        let (probes, mut presence) = mpsc::channel(QUEUE_CAPACITY);
         self.probes = probes;
         self.probe_target(self.clock.now());
         let fleet = &self.settings.fleet;
@@ -142,17 +142,17 @@
             target = %self.settings.target
         );
         loop {
-            let wake_at = self.wake_at();
+            let next_work_at = self.next_work_at();
             tokio::select! {
-                _ = self.frames.readable() => self.take_frames(),
-                _ = self.outbound.readable() => self.take_answers(),
-                _ = self.fleet.readable() => self.take_datagrams(),
-                Some(command) = self.commands.recv() => self.take_command(command),
+                _ = self.frame_socket.readable() => self.receive_frames(),
+                _ = self.target_socket.readable() => self.receive_target_packets(),
+                _ = self.fleet_socket.readable() => self.receive_datagrams(),
+                Some(command) = self.commands.recv() => self.handle_command(command),
                 Some(inspection) = inspections.recv() => self.answer_inspection(inspection),
-                Some(present) = presence.recv() => self.take_presence(present),
-                () = sleep_until(wake_at) => self.wake(),
-                () = stop_asked(&mut hangup) => self.reread_settings(),
-                () = stop_asked(&mut terminate) => break,
+                Some(present) = presence.recv() => self.handle_probe_result(present),
+                () = sleep_until(next_work_at) => self.run_due_work(),
+                () = wait_for_signal(&mut hangup) => self.reread_settings(),
+                () = wait_for_signal(&mut terminate) => break,
             }
         }
         log_event!(info, FleetEvent::SideStopped, flows = self.flows.held());
@@ -160,7 +160,7 @@
     }
 
     /// Returns when the next timed work is due.
-    fn wake_at(&self) -> Instant {
+    fn next_work_at(&self) -> Instant {
         let now = self.clock.now();
         let next = self
             .flows
@@ -169,15 +169,15 @@
         Instant::now() + next.since(now).duration().max(Duration::from_millis(1))
     }
 
-    fn wake(&mut self) {
+    fn run_due_work(&mut self) {
         let now = self.clock.now();
         let suspect = self.flows.is_suspect();
         for (mut packet, flow, step) in self.flows.expire_openings(now) {
             self.counters.unanswered += 1;
-            if self.budget.allows(FleetEvent::FlowUnanswered, now) {
+            if self.log_limiter.allows(FleetEvent::FlowUnanswered, now) {
                 log_event!(warn, FleetEvent::FlowUnanswered, %flow, action = %step.action);
             }
-            self.act(step, &mut packet, flow, now);
+            self.apply_step(step, &mut packet, flow, now);
         }
         self.admit_waiting(now);
         if self.flows.is_suspect() && !suspect {
@@ -191,7 +191,7 @@
 
     fn answer_inspection(&self, inspection: Inspection) {
         let now = self.clock.now();
-        let reply = match inspection.question {
+        let reply = match inspection.request {
             InspectQuestion::Dump => json!({
                 "role": "side",
                 "name": self.settings.fleet.name,
@@ -202,7 +202,7 @@
                 "standing": self.announced.map(|(standing, _)| standing),
                 "suspect": self.flows.is_suspect(),
                 "silence_ms": self.flows.silence(now),
-                "members": self.core.members(),
+                "members": self.group.members(),
                 "flows": self.flows.held(),
                 "busy": self.flows.busy(),
                 "waiting": self.flows.waiting(),
@@ -215,20 +215,20 @@
             }),
         };
         // An operator that went away needs no answer.
-        let _ = inspection.answer.send(reply);
+        let _ = inspection.reply_to.send(reply);
     }
 
-    fn take_datagrams(&mut self) {
+    fn receive_datagrams(&mut self) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
-        while let Some((length, _)) = self.fleet.receive(&mut buffer) {
+        while let Some((length, _)) = self.fleet_socket.receive(&mut buffer) {
             if let Some(FleetDatagram::Located { members }) =
                 FleetDatagram::decode(&buffer[..length])
             {
-                self.core_heard_at = self.clock.now();
-                if self.core.meet(members.clone(), None) {
+                self.group_heard_at = self.clock.now();
+                if self.group.update_members(members.clone(), None) {
                     log_event!(info, FleetEvent::CoreFound, ?members);
                     // Members that are new to this agent have not heard of its target.
-                    self.announce_at = self.core_heard_at;
+                    self.announce_at = self.group_heard_at;
                 }
             }
         }
--- a/src/fleet/side_packets.rs
+++ b/src/fleet/side_packets.rs
@@ -7,7 +7,7 @@
 use super::{
     FleetEvent, SideNode,
     fleet_datagram::FleetDatagram,
-    side_node::{MAX_FRAME_BYTES, PACKETS_A_TURN},
+    side_node::{MAX_FRAME_BYTES, PACKETS_PER_TURN},
 };
 use crate::{
     clock::ClockMillis,
@@ -17,11 +17,11 @@
 
 impl SideNode {
     /// Takes the frames that have arrived, some at a time.
-    pub(super) fn take_frames(&mut self) {
+    pub(super) fn receive_frames(&mut self) {
         let mut buffer = [0; MAX_FRAME_BYTES];
-        for _ in 0..PACKETS_A_TURN {
-            match self.frames.try_recv_from(&mut buffer) {
-                Ok((length, _)) => self.take_frame(&mut buffer[..length]),
+        for _ in 0..PACKETS_PER_TURN {
+            match self.frame_socket.try_recv_from(&mut buffer) {
+                Ok((length, _)) => self.handle_frame(&mut buffer[..length]),
                 Err(_) => break,
             }
         }
@@ -29,7 +29,7 @@
     }
 
     /// Decides on a caller's packet.
-    pub(super) fn take_frame(&mut self, bytes: &mut [u8]) {
+    pub(super) fn handle_frame(&mut self, bytes: &mut [u8]) {
         let now = self.clock.now();
         self.counters.frames += 1;
         let Some(frame) = HopFrame::decode(bytes) else {
@@ -43,27 +43,27 @@
             .take_frame(frame.header, &packet, frame.packet, now);
         if packet.data_bytes > 0
             && let Some(request) = request_id(self.codec.data(frame.packet))
-            && self.budget.allows(FleetEvent::RequestDelivered, now)
+            && self.log_limiter.allows(FleetEvent::RequestDelivered, now)
         {
             log_event!(info, FleetEvent::RequestDelivered, request, flow = %packet.caller_flow(), hops = frame.header.hops, target = ?self.tracker.target(), action = %step.action);
         }
-        self.act(step, frame.packet, packet.caller_flow(), now);
+        self.apply_step(step, frame.packet, packet.caller_flow(), now);
     }
 
     /// Counts and logs a datagram that can not be read.
     pub(super) fn refuse_datagram(&mut self, cause: &'static str, now: ClockMillis) {
         self.counters.undecodable += 1;
-        if self.budget.allows(FleetEvent::DatagramRefused, now) {
+        if self.log_limiter.allows(FleetEvent::DatagramRefused, now) {
             log_event!(warn, FleetEvent::DatagramRefused, cause);
         }
     }
 
     /// Takes the packets that the target has sent, some at a time.
-    pub(super) fn take_answers(&mut self) {
+    pub(super) fn receive_target_packets(&mut self) {
         let mut buffer = [0; MAX_FRAME_BYTES];
-        for _ in 0..PACKETS_A_TURN {
-            match self.outbound.try_recv_from(&mut buffer) {
-                Ok((length, _)) => self.take_answer(&mut buffer[..length]),
+        for _ in 0..PACKETS_PER_TURN {
+            match self.target_socket.try_recv_from(&mut buffer) {
+                Ok((length, _)) => self.handle_target_packet(&mut buffer[..length]),
                 Err(_) => break,
             }
         }
@@ -71,7 +71,7 @@
     }
 
     /// Decides on a packet that the target has sent or given back.
-    pub(super) fn take_answer(&mut self, bytes: &mut [u8]) {
+    pub(super) fn handle_target_packet(&mut self, bytes: &mut [u8]) {
         let now = self.clock.now();
         let Ok(packet) = self.codec.decode(bytes) else {
             return self.refuse_datagram("no packet of the target", now);
@@ -86,11 +86,11 @@
             AgentAction::Return => packet.target_flow(),
             _ => packet.caller_flow(),
         };
-        self.act(step, bytes, flow, now);
+        self.apply_step(step, bytes, flow, now);
     }
 
     /// Does what was decided on a packet.
-    pub(super) fn act(
+    pub(super) fn apply_step(
         &mut self,
         step: AgentStep,
         packet: &mut [u8],
@@ -102,7 +102,7 @@
                 self.codec.prepare(packet, tag);
                 // What the kernel does not take is lost, as any packet may be.
                 let sent = self
-                    .outbound
+                    .target_socket
                     .try_send_to(packet, SocketAddr::V4(self.settings.target));
                 match sent {
                     Ok(_) => self.counters.delivered += 1,
@@ -115,17 +115,17 @@
             }
             AgentAction::PassOn { to, header } => {
                 self.codec.prepare(packet, 0);
-                header.encode(packet, &mut self.frame);
-                let address = SocketAddrV4::new(to, self.settings.fleet.packets.port());
+                header.encode(packet, &mut self.frame_buffer);
+                let address = SocketAddrV4::new(to, self.settings.fleet.packet_address.port());
                 // A frame that the kernel does not take is lost, as any may be.
                 let sent = self
-                    .frames
-                    .try_send_to(&self.frame, SocketAddr::V4(address));
+                    .frame_socket
+                    .try_send_to(&self.frame_buffer, SocketAddr::V4(address));
                 match sent {
                     Ok(_) => self.counters.passed += 1,
                     Err(_) => self.counters.unsent += 1,
                 }
-                if self.budget.allows(FleetEvent::FlowPassed, now) {
+                if self.log_limiter.allows(FleetEvent::FlowPassed, now) {
                     log_event!(info, FleetEvent::FlowPassed, %flow, %to, hops = header.hops);
                 }
             }
@@ -136,23 +136,24 @@
             }
             AgentAction::Wait => {
                 self.counters.waited += 1;
-                if self.budget.allows(FleetEvent::FlowWaits, now) {
+                if self.log_limiter.allows(FleetEvent::FlowWaits, now) {
                     let (busy, waiting) = (self.flows.busy(), self.flows.waiting());
                     log_event!(info, FleetEvent::FlowWaits, %flow, busy, waiting);
                 }
             }
             AgentAction::Drop => {
                 self.counters.dropped += 1;
-                if self.budget.allows(FleetEvent::FlowDropped, now) {
+                if self.log_limiter.allows(FleetEvent::FlowDropped, now) {
                     log_event!(info, FleetEvent::FlowDropped, %flow);
                 }
             }
         }
         if let Some((balancer, report)) = step.report {
-            if self.budget.allows(FleetEvent::ReportSent, now) {
+            if self.log_limiter.allows(FleetEvent::ReportSent, now) {
                 log_event!(info, FleetEvent::ReportSent, %flow, kind = ?report.kind, %balancer);
             }
-            self.fleet.send(balancer, &FleetDatagram::Report(report));
+            self.fleet_socket
+                .send(balancer, &FleetDatagram::Report(report));
         }
     }
 
@@ -161,21 +162,21 @@
     pub(super) fn admit_waiting(&mut self, now: ClockMillis) {
         while let Some(mut end) = self.flows.next_waiting(now) {
             histogram!("cyclamen_side_wait_ms").record(end.waited.millis_float());
-            if self.budget.allows(FleetEvent::WaitEnded, now) {
+            if self.log_limiter.allows(FleetEvent::WaitEnded, now) {
                 let (busy, waiting) = (self.flows.busy(), self.flows.waiting());
                 log_event!(info, FleetEvent::WaitEnded, flow = %end.flow, waited = %end.waited, action = %end.step.action, busy, waiting);
             }
-            self.act(end.step, &mut end.packet, end.flow, now);
+            self.apply_step(end.step, &mut end.packet, end.flow, now);
         }
     }
 
     /// Sends bytes to the caller of a flow.
     pub(super) fn send_to_caller(&mut self, flow: FlowKey, bytes: &[u8]) {
-        let port = self.settings.fleet.packets.port();
+        let port = self.settings.fleet.packet_address.port();
         let address = SocketAddrV4::new(*flow.caller.ip(), port);
         // The ends of a flow repeat what is lost.
         if self
-            .frames
+            .frame_socket
             .try_send_to(bytes, SocketAddr::V4(address))
             .is_err()
         {
--- a/src/fleet/side_target.rs
+++ b/src/fleet/side_target.rs
@@ -9,7 +9,9 @@
     fleet_counters::publish_gauge,
     fleet_datagram::FleetDatagram,
     side_handle::SideCommand,
-    side_node::{CHANGE_REPEATS, LOST_MILLIS, PROBE_ANSWER_MILLIS, PROBE_MILLIS, REPEAT_MILLIS},
+    side_node::{
+        CHANGE_REPEATS, GROUP_LOST_MILLIS, PROBE_ANSWER_MILLIS, PROBE_MILLIS, REPEAT_MILLIS,
+    },
     target_tracker::NoticeVerdict,
 };
 use crate::{
@@ -21,10 +23,10 @@
 impl SideNode {
     /// Decides anew whether the target takes flows; returns what balancers
     /// should know.
-    pub(super) fn judge_target(&mut self, now: ClockMillis) -> TargetStanding {
+    pub(super) fn refresh_standing(&mut self, now: ClockMillis) -> TargetStanding {
         let target = self.tracker.target();
         let incarnation = self.tracker.incarnation();
-        let gone_before = self.tracker.over_before(now);
+        let gone_before = self.tracker.stale_flows_before(now);
         self.flows.set_slots(self.tracker.slots());
         let resets = self.flows.set_target(target, incarnation, gone_before);
         if !resets.is_empty() {
@@ -61,7 +63,7 @@
     }
 
     /// Takes the result of a probe.
-    pub(super) fn take_presence(&mut self, present: bool) {
+    pub(super) fn handle_probe_result(&mut self, present: bool) {
         let now = self.clock.now();
         // What came while the probe was under way is newer.
         let heard = self
@@ -77,7 +79,7 @@
 
     /// Announces the target if what balancers should know has changed.
     pub(super) fn announce_change(&mut self, now: ClockMillis) {
-        let standing = self.judge_target(now);
+        let standing = self.refresh_standing(now);
         if self.announced != Some((standing, self.tracker.incarnation())) {
             self.announce(now);
         }
@@ -86,17 +88,17 @@
 
     /// Announces the target to the control group.
     pub(super) fn announce(&mut self, now: ClockMillis) {
-        let standing = self.judge_target(now);
+        let standing = self.refresh_standing(now);
         let news = Some((standing, self.tracker.incarnation()));
         if self.announced != news {
             self.announced = news;
-            self.repeats = CHANGE_REPEATS;
+            self.repeats_left = CHANGE_REPEATS;
             log_event!(info, FleetEvent::TargetChanged, agent = %self.settings.fleet.address, service = %self.service, ?standing);
         }
-        let pause = if self.repeats > 0 {
-            self.repeats -= 1;
+        let pause = if self.repeats_left > 0 {
+            self.repeats_left -= 1;
             REPEAT_MILLIS
-        } else if self.core.members().is_empty() {
+        } else if self.group.members().is_empty() {
             REPEAT_MILLIS
         } else {
             ANNOUNCE_MILLIS
@@ -106,13 +108,14 @@
         let record = TargetRecord {
             agent: self.settings.fleet.address,
             service: self.service,
-            agent_run: self.run,
+            agent_run: self.agent_run,
             sequence: self.sequence,
             target: self.tracker.incarnation(),
             standing,
         };
         for contact in self.contacts(now) {
-            self.fleet.send(contact, &FleetDatagram::Announce(record));
+            self.fleet_socket
+                .send(contact, &FleetDatagram::Announce(record));
         }
         self.flows.sweep(now);
         self.counters.publish();
@@ -125,40 +128,40 @@
     /// Returns whom to announce to: the control group, and the seeds as well
     /// while it is not heard.
     pub(super) fn contacts(&mut self, now: ClockMillis) -> Vec<Ipv4Addr> {
-        let members = self.core.members();
-        let lost = now.since(self.core_heard_at) >= LOST_MILLIS;
+        let members = self.group.members();
+        let lost = now.since(self.group_heard_at) >= GROUP_LOST_MILLIS;
         if lost {
             self.reread_settings();
         }
         if members.is_empty() || lost {
-            return self.core.contacts();
+            return self.group.contacts();
         }
         members
     }
 
     /// Reads the seeds again.
     pub(super) fn reread_settings(&mut self) {
-        if let Some(seeds) = self.source.seeds()
-            && self.core.set_seeds(seeds.clone())
+        if let Some(seeds) = self.settings_source.seeds()
+            && self.group.set_seeds(seeds.clone())
         {
             log_event!(info, FleetEvent::SettingsReread, ?seeds);
         }
     }
 
     /// Takes a call of the target; it is answered once the agent acts on it.
-    pub(super) fn take_command(&mut self, command: SideCommand) {
+    pub(super) fn handle_command(&mut self, command: SideCommand) {
         let now = self.clock.now();
         let (verdict, answer) = match command {
             SideCommand::Announce { notice, answer } => {
-                let verdict = self.tracker.take(notice.clone(), now);
+                let verdict = self.tracker.apply_notice(notice.clone(), now);
                 if verdict == NoticeVerdict::Taken {
-                    self.hear_target(now);
-                    log_event!(info, FleetEvent::NoticeTaken, id = notice.id, sequence = notice.sequence, state = ?notice.state, warm_in = %notice.warm_in);
+                    self.note_target_heard(now);
+                    log_event!(info, FleetEvent::NoticeTaken, id = notice.id, sequence = notice.sequence, state = ?notice.state, warm_in = %notice.warm_up_left);
                 }
                 (verdict, answer)
             }
             SideCommand::End { id, answer } => {
-                let verdict = self.tracker.end(&id);
+                let verdict = self.tracker.note_ended(&id);
                 log_event!(info, FleetEvent::NoticeTaken, id, state = "ended", ?verdict);
                 (verdict, answer)
             }
@@ -172,7 +175,7 @@
     }
 
     /// Notes that the target answers.
-    pub(super) fn hear_target(&mut self, now: ClockMillis) {
+    pub(super) fn note_target_heard(&mut self, now: ClockMillis) {
         if self.flows.hear_target(now) {
             log_event!(info, FleetEvent::TargetHeard, target = %self.settings.target);
             self.announce_change(now);
--- a/src/fleet/target_tracker.rs
+++ b/src/fleet/target_tracker.rs
@@ -13,7 +13,7 @@
 
 /// How long a target may run before its first announcement arrives: the second
 /// that it waits for an acknowledgement.
-const UNHEARD_MILLIS: SpanMillis = SpanMillis::new(1_000);
+const FIRST_NOTICE_DELAY_MILLIS: SpanMillis = SpanMillis::new(1_000);
 
 /// What became of an announcement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -28,13 +28,13 @@
 #[derive(Debug)]
 pub(crate) struct TargetTracker {
     heartbeat: SpanMillis,
-    silence: SpanMillis,
-    newest: Option<TargetNotice>,
+    max_silence: SpanMillis,
+    latest_notice: Option<TargetNotice>,
     ended: bool,
     heard_at: ClockMillis,
     /// Whether nothing listens at the target's address.
     absent: bool,
-    warm_at: ClockMillis,
+    warm_up_until: ClockMillis,
 }
 
 impl TargetTracker {
@@ -43,38 +43,39 @@
     pub(crate) fn new(heartbeat: SpanMillis, now: ClockMillis) -> Self {
         Self {
             heartbeat,
-            silence: heartbeat.times(MISSED_ANNOUNCEMENTS),
-            newest: None,
+            max_silence: heartbeat.times(MISSED_ANNOUNCEMENTS),
+            latest_notice: None,
             ended: false,
             heard_at: now,
             absent: false,
-            warm_at: now,
+            warm_up_until: now,
         }
     }
 
     /// Takes an announcement; one of an earlier start, or one that was overtaken,
     /// changes nothing.
-    pub(crate) fn take(&mut self, notice: TargetNotice, now: ClockMillis) -> NoticeVerdict {
-        if let Some(newest) = &self.newest {
-            let same = newest.id == notice.id && newest.started_at == notice.started_at;
-            let late = notice.started_at < newest.started_at
-                || (same && (self.ended || notice.sequence <= newest.sequence));
+    pub(crate) fn apply_notice(&mut self, notice: TargetNotice, now: ClockMillis) -> NoticeVerdict {
+        if let Some(latest_notice) = &self.latest_notice {
+            let same =
+                latest_notice.id == notice.id && latest_notice.started_at == notice.started_at;
+            let late = notice.started_at < latest_notice.started_at
+                || (same && (self.ended || notice.sequence <= latest_notice.sequence));
             if late {
                 return NoticeVerdict::Late;
             }
         }
-        self.warm_at = now.after(notice.warm_in);
+        self.warm_up_until = now.after(notice.warm_up_left);
         self.heard_at = now;
         self.ended = false;
         self.absent = false;
-        self.newest = Some(notice);
+        self.latest_notice = Some(notice);
         NoticeVerdict::Taken
     }
 
     /// Notes that the target called `id` has ended.
-    pub(crate) fn end(&mut self, id: &str) -> NoticeVerdict {
-        match &self.newest {
-            Some(newest) if newest.id == id => {
+    pub(crate) fn note_ended(&mut self, id: &str) -> NoticeVerdict {
+        match &self.latest_notice {
+            Some(latest_notice) if latest_notice.id == id => {
                 self.ended = true;
                 NoticeVerdict::Taken
             }
@@ -88,7 +89,7 @@
 
     /// Returns which start of the target was heard last.
     pub(crate) fn incarnation(&self) -> Option<IncarnationId> {
-        self.newest.as_ref().map(|notice| {
+        self.latest_notice.as_ref().map(|notice| {
             let started_at = notice.started_at;
             IncarnationId::new(xxh3_64_with_seed(notice.id.as_bytes(), started_at))
         })
@@ -96,7 +97,7 @@
 
     /// Returns how many requests the target works on at a time, if it says so.
     pub(crate) fn slots(&self) -> Option<u32> {
-        self.newest.as_ref().and_then(|notice| notice.slots)
+        self.latest_notice.as_ref().and_then(|notice| notice.slots)
     }
 
     /// Notes whether anything listens at the target's address.
@@ -108,23 +109,28 @@
     }
 
     /// Returns whether the target has been silent for so long that it should be
-    /// looked after; `quiet` is how long it has sent no packet, `None` if it
+    /// looked after; `packet_silence` is how long it has sent no packet, `None` if it
     /// never did.
-    pub(crate) fn is_silent(&self, quiet: Option<SpanMillis>, now: ClockMillis) -> bool {
-        now.since(self.heard_at) >= self.silence && quiet.is_none_or(|quiet| quiet >= self.silence)
+    pub(crate) fn is_silent(&self, packet_silence: Option<SpanMillis>, now: ClockMillis) -> bool {
+        now.since(self.heard_at) >= self.max_silence
+            && packet_silence.is_none_or(|packet_silence| packet_silence >= self.max_silence)
     }
 
     /// Returns the time before which every flow is of a start that is over.
     ///
     /// A newer start may have run unheard: one that has announced itself for as
     /// long as that takes, one that has not for the time until it does.
-    pub(crate) fn over_before(&self, now: ClockMillis) -> ClockMillis {
+    pub(crate) fn stale_flows_before(&self, now: ClockMillis) -> ClockMillis {
         let over = self.ended || self.absent;
-        let announced = match &self.newest {
+        let announced = match &self.latest_notice {
             Some(notice) if !over => self.heartbeat.times(notice.sequence),
             _ => SpanMillis::ZERO,
         };
-        let unheard = SpanMillis::new(announced.millis().saturating_add(UNHEARD_MILLIS.millis()));
+        let unheard = SpanMillis::new(
+            announced
+                .millis()
+                .saturating_add(FIRST_NOTICE_DELAY_MILLIS.millis()),
+        );
         now.before(unheard)
     }
 
@@ -136,7 +142,7 @@
         if self.absent {
             return AgentTarget::Lost;
         }
-        match &self.newest {
+        match &self.latest_notice {
             None => AgentTarget::Unproved,
             Some(notice) => match notice.state {
                 TargetState::Ready => AgentTarget::Serving,
@@ -157,7 +163,7 @@
             AgentTarget::Ended | AgentTarget::Lost => TargetStanding::Ended,
             AgentTarget::Leaving => TargetStanding::Leaving,
             AgentTarget::Unproved | AgentTarget::Serving if suspect => TargetStanding::Silent,
-            AgentTarget::Unproved | AgentTarget::Serving if now < self.warm_at => {
+            AgentTarget::Unproved | AgentTarget::Serving if now < self.warm_up_until => {
                 TargetStanding::Warming
             }
             AgentTarget::Unproved | AgentTarget::Serving => TargetStanding::Serving,
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -4,7 +4,7 @@
 
 use super::{
     TargetNotice, TargetState,
-    process_recall::{KnownProcesses, ProcessRecall},
+    restart_notifier::{KnownProcesses, RestartNotifier},
     target_tracker::{NoticeVerdict, TargetTracker},
 };
 use crate::{
@@ -22,14 +22,14 @@
         started_at,
         sequence,
         state,
-        warm_in: SpanMillis::ZERO,
+        warm_up_left: SpanMillis::ZERO,
         slots: Some(4),
     }
 }
 
 fn tracker() -> TargetTracker {
     let mut tracker = TargetTracker::new(HEARTBEAT, START);
-    tracker.take(notice("i-1", 50, 7, TargetState::Ready), START);
+    tracker.apply_notice(notice("i-1", 50, 7, TargetState::Ready), START);
     tracker
 }
 
@@ -40,10 +40,10 @@
 #[test]
 fn a_draining_target_takes_nothing_new_from_its_acknowledgement_on() {
     let mut tracker = tracker();
-    tracker.take(notice("i-1", 50, 8, TargetState::Draining), START);
+    tracker.apply_notice(notice("i-1", 50, 8, TargetState::Draining), START);
     assert_eq!(tracker.target(), AgentTarget::Leaving);
     // A delayed announcement does not bring it back.
-    let late = tracker.take(notice("i-1", 50, 7, TargetState::Ready), START);
+    let late = tracker.apply_notice(notice("i-1", 50, 7, TargetState::Ready), START);
     assert_eq!(late, NoticeVerdict::Late);
     assert_eq!(tracker.target(), AgentTarget::Leaving);
 }
@@ -52,11 +52,11 @@
 fn a_new_start_under_the_same_name_counts_from_the_beginning() {
     let mut tracker = tracker();
     let before = tracker.incarnation();
-    let verdict = tracker.take(notice("i-1", 60, 1, TargetState::Ready), START);
+    let verdict = tracker.apply_notice(notice("i-1", 60, 1, TargetState::Ready), START);
     assert_eq!(verdict, NoticeVerdict::Taken);
     assert_ne!(tracker.incarnation(), before);
     // The word of the earlier start, held up on its way.
-    let late = tracker.take(notice("i-1", 50, 99, TargetState::Draining), START);
+    let late = tracker.apply_notice(notice("i-1", 50, 99, TargetState::Draining), START);
     assert_eq!(late, NoticeVerdict::Late);
     assert_eq!(tracker.target(), AgentTarget::Serving);
 }
@@ -64,12 +64,12 @@
 #[test]
 fn an_ended_target_stays_ended_until_another_start() {
     let mut tracker = tracker();
-    assert_eq!(tracker.end("i-0"), NoticeVerdict::Late);
-    assert_eq!(tracker.end("i-1"), NoticeVerdict::Taken);
-    let late = tracker.take(notice("i-1", 50, 8, TargetState::Ready), START);
+    assert_eq!(tracker.note_ended("i-0"), NoticeVerdict::Late);
+    assert_eq!(tracker.note_ended("i-1"), NoticeVerdict::Taken);
+    let late = tracker.apply_notice(notice("i-1", 50, 8, TargetState::Ready), START);
     assert_eq!(late, NoticeVerdict::Late);
     assert_eq!(tracker.target(), AgentTarget::Ended);
-    tracker.take(notice("i-2", 70, 1, TargetState::Ready), START);
+    tracker.apply_notice(notice("i-2", 70, 1, TargetState::Ready), START);
     assert_eq!(tracker.target(), AgentTarget::Serving);
 }
 
@@ -86,7 +86,7 @@
     let mut tracker = tracker();
     tracker.note_presence(false, after(3));
     assert_eq!(tracker.target(), AgentTarget::Lost);
-    tracker.take(notice("i-2", 70, 1, TargetState::Ready), after(4));
+    tracker.apply_notice(notice("i-2", 70, 1, TargetState::Ready), after(4));
     assert_eq!(tracker.target(), AgentTarget::Serving);
     tracker.note_presence(true, after(9));
     assert!(!tracker.is_silent(None, after(11)));
@@ -103,8 +103,8 @@
 fn a_target_that_has_just_started_is_told_to_be_slow_for_as_long_as_it_says() {
     let mut tracker = tracker();
     let mut cold = notice("i-2", 60, 1, TargetState::Ready);
-    cold.warm_in = SpanMillis::new(2_000);
-    tracker.take(cold, START);
+    cold.warm_up_left = SpanMillis::new(2_000);
+    tracker.apply_notice(cold, START);
     let standing = |at| tracker.standing(AgentTarget::Serving, false, at);
     assert_eq!(standing(START), TargetStanding::Warming);
     assert_eq!(
@@ -117,14 +117,14 @@
 fn a_start_that_announced_itself_often_may_hold_older_flows() {
     let now = ClockMillis::new(100_000);
     let mut tracker = TargetTracker::new(HEARTBEAT, START);
-    tracker.take(notice("i-1", 50, 1, TargetState::Ready), now);
-    let once = now.since(tracker.over_before(now));
+    tracker.apply_notice(notice("i-1", 50, 1, TargetState::Ready), now);
+    let once = now.since(tracker.stale_flows_before(now));
     assert_eq!(once, SpanMillis::new(1_000 + HEARTBEAT.millis()));
-    tracker.take(notice("i-1", 50, 9, TargetState::Ready), now);
-    assert!(now.since(tracker.over_before(now)) >= HEARTBEAT.times(9));
+    tracker.apply_notice(notice("i-1", 50, 9, TargetState::Ready), now);
+    assert!(now.since(tracker.stale_flows_before(now)) >= HEARTBEAT.times(9));
     // A target that is gone holds nothing, however long it had run.
     tracker.note_presence(false, now);
-    let gone = now.since(tracker.over_before(now));
+    let gone = now.since(tracker.stale_flows_before(now));
     assert_eq!(gone, SpanMillis::new(1_000));
 }
 
@@ -137,12 +137,17 @@
         agents: [process(1), process(2)].into(),
         balancers: [process(3)].into(),
     };
-    let mut recall = ProcessRecall::default();
-    assert_eq!(recall.due(START).count(), 0);
-    recall.remember(&known, START);
-    recall.hear(process(2));
-    let told: Vec<Ipv4Addr> = recall.due(START).collect();
+    let mut notifier = RestartNotifier::default();
+    assert_eq!(notifier.recipients(START).count(), 0);
+    notifier.start(&known, START);
+    notifier.note_heard(process(2));
+    let told: Vec<Ipv4Addr> = notifier.recipients(START).collect();
     assert_eq!(told, [process(1), process(3)]);
     // A process that has gone for good is not told for ever.
-    assert_eq!(recall.due(START.after(SpanMillis::new(1_000))).count(), 0);
+    assert_eq!(
+        notifier
+            .recipients(START.after(SpanMillis::new(1_000)))
+            .count(),
+        0
+    );
 }
--- a/src/fleet/watch_client.rs
+++ b/src/fleet/watch_client.rs
@@ -12,28 +12,28 @@
 };
 
 use super::{
-    core_view::CoreView,
-    watch_frame::{WatchNews, WatchPoll, read_frame, write_frame},
-    watch_server::HOLD_MILLIS,
+    group_view::GroupView,
+    watch_frame::{WatchPoll, WatchReply, read_frame, write_frame},
+    watch_server::LONG_POLL_MILLIS,
 };
 use crate::{clock::SpanMillis, directory::DirectoryPlace};
 
 /// How long connecting may take; a VM without power does not answer at all.
-const CONNECT_MILLIS: SpanMillis = SpanMillis::new(250);
+const CONNECT_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(250);
 /// How much later than to the one before it each replica is connected to.
-const STAGGER_MILLIS: SpanMillis = SpanMillis::new(20);
+const CONNECT_STAGGER_MILLIS: SpanMillis = SpanMillis::new(20);
 /// How long an answer may take beyond the time that the server holds it.
-const ANSWER_MILLIS: SpanMillis = HOLD_MILLIS.times(2);
+const REPLY_TIMEOUT_MILLIS: SpanMillis = LONG_POLL_MILLIS.times(2);
 /// The pause before another replica is tried.
-const RETRY_MILLIS: SpanMillis = SpanMillis::new(50);
-/// The shortest time between two polls, while news come in quick succession.
-const SPACING_MILLIS: SpanMillis = SpanMillis::new(20);
+const RETRY_PAUSE_MILLIS: SpanMillis = SpanMillis::new(50);
+/// The shortest time between two polls, while reply come in quick succession.
+const MIN_POLL_SPACING_MILLIS: SpanMillis = SpanMillis::new(20);
 
 /// An update of the watch for the balancer.
 #[derive(Debug)]
 pub(super) enum WatchUpdate {
     /// A replica answered; the place says how far its directory is followed.
-    News(Box<WatchNews>),
+    Reply(Box<WatchReply>),
     /// The replica that was followed is lost.
     Lost {
         /// The replica.
@@ -48,10 +48,10 @@
 pub(super) struct WatchClient {
     own: Ipv4Addr,
     port: u16,
-    core: CoreView,
+    group: GroupView,
     updates: mpsc::Sender<WatchUpdate>,
-    version: u64,
-    place: DirectoryPlace,
+    routes_version: u64,
+    position: DirectoryPlace,
 }
 
 impl WatchClient {
@@ -59,16 +59,16 @@
     pub(super) fn new(
         own: Ipv4Addr,
         port: u16,
-        core: CoreView,
+        group: GroupView,
         updates: mpsc::Sender<WatchUpdate>,
     ) -> Self {
         Self {
             own,
             port,
-            core,
+            group,
             updates,
-            version: 0,
-            place: DirectoryPlace::default(),
+            routes_version: 0,
+            position: DirectoryPlace::default(),
         }
     }
 
@@ -83,13 +83,13 @@
                 }
                 untried.retain(|candidate| *candidate != replica);
             }
-            sleep(RETRY_MILLIS.duration()).await;
+            sleep(RETRY_PAUSE_MILLIS.duration()).await;
         }
     }
 
     /// Returns whom to follow: this VM's replica first, then any other.
     fn candidates(&self) -> Vec<Ipv4Addr> {
-        let mut members = self.core.contacts();
+        let mut members = self.group.contacts();
         members.shuffle(&mut rand::rng());
         members.sort_by_key(|member| *member != self.own);
         members
@@ -105,10 +105,10 @@
             attempts.spawn(async move {
                 sleep(delay.duration()).await;
                 let connect = TcpStream::connect(address);
-                let stream = timeout(CONNECT_MILLIS.duration(), connect).await;
+                let stream = timeout(CONNECT_TIMEOUT_MILLIS.duration(), connect).await;
                 Some((replica, stream.ok()?.ok()?))
             });
-            delay = delay.plus(STAGGER_MILLIS);
+            delay = delay.plus(CONNECT_STAGGER_MILLIS);
         }
         loop {
             tokio::select! {
@@ -118,7 +118,7 @@
                     }
                 }
                 // Others are worth trying now.
-                () = self.core.changed() => return None,
+                () = self.group.changed() => return None,
             }
         }
     }
@@ -128,8 +128,8 @@
     async fn follow(&mut self, replica: Ipv4Addr, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         loop {
-            let news = match self.poll(&mut stream).await {
-                Ok(news) => news,
+            let reply = match self.poll(&mut stream).await {
+                Ok(reply) => reply,
                 Err(error) => {
                     // A full queue will be told by the next loss.
                     let cause = error.kind();
@@ -137,45 +137,45 @@
                     return Err(error);
                 }
             };
-            if let Some(routes) = &news.routes {
-                self.version = routes.version;
+            if let Some(routes) = &reply.routes {
+                self.routes_version = routes.version;
             }
-            if let Some(targets) = &news.targets {
-                self.place = if targets.settled {
+            if let Some(targets) = &reply.targets {
+                self.position = if targets.settled {
                     targets.place
                 } else {
                     DirectoryPlace::default()
                 };
             }
-            let current = news.current;
-            let unsettled = self.place == DirectoryPlace::default();
+            let caught_up = reply.caught_up;
+            let unsettled = self.position == DirectoryPlace::default();
             if self
                 .updates
-                .send(WatchUpdate::News(Box::new(news)))
+                .send(WatchUpdate::Reply(Box::new(reply)))
                 .await
                 .is_err()
             {
                 return Ok(());
             }
-            if !current {
+            if !caught_up {
                 return Err(io::ErrorKind::NotConnected.into());
             }
             let pause = if unsettled {
-                RETRY_MILLIS
+                RETRY_PAUSE_MILLIS
             } else {
-                SPACING_MILLIS
+                MIN_POLL_SPACING_MILLIS
             };
             sleep(pause.duration()).await;
         }
     }
 
-    async fn poll(&self, stream: &mut TcpStream) -> io::Result<WatchNews> {
+    async fn poll(&self, stream: &mut TcpStream) -> io::Result<WatchReply> {
         let poll = WatchPoll {
             watcher: self.own,
-            version: self.version,
-            place: self.place,
+            routes_version: self.routes_version,
+            position: self.position,
         };
-        write_frame(stream, &poll, ANSWER_MILLIS.duration()).await?;
-        read_frame(stream, ANSWER_MILLIS.duration()).await
+        write_frame(stream, &poll, REPLY_TIMEOUT_MILLIS.duration()).await?;
+        read_frame(stream, REPLY_TIMEOUT_MILLIS.duration()).await
     }
 }
--- a/src/fleet/watch_frame.rs
+++ b/src/fleet/watch_frame.rs
@@ -21,14 +21,14 @@
     /// The watcher's address.
     pub(super) watcher: Ipv4Addr,
     /// The version of the routes in force at the watcher.
-    pub(super) version: u64,
+    pub(super) routes_version: u64,
     /// How far the watcher has followed this replica's directory.
-    pub(super) place: DirectoryPlace,
+    pub(super) position: DirectoryPlace,
 }
 
 /// What a watcher lacks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct WatchNews {
+pub(super) struct WatchReply {
     /// Newer routes.
     pub(super) routes: Option<ListenerManifest>,
     /// Changes of the directory.
@@ -38,7 +38,7 @@
     /// The leader, if one is known.
     pub(super) leader: Option<Ipv4Addr>,
     /// Whether the replica hears a leader, so that its routes are current.
-    pub(super) current: bool,
+    pub(super) caught_up: bool,
 }
 
 /// Writes a value with its length in front.
--- a/src/fleet/watch_server.rs
+++ b/src/fleet/watch_server.rs
@@ -13,9 +13,9 @@
 
 use super::{
     FleetError,
-    control_seat::ControlSeat,
-    process_recall::KnownProcesses,
-    watch_frame::{WatchNews, WatchPoll, read_frame, write_frame},
+    local_replica::LocalReplica,
+    restart_notifier::KnownProcesses,
+    watch_frame::{WatchPoll, WatchReply, read_frame, write_frame},
 };
 use crate::{
     clock::{ClockMillis, ProcessClock, SpanMillis},
@@ -23,9 +23,9 @@
 };
 
 /// How long a poll waits for news before it is answered without any.
-pub(super) const HOLD_MILLIS: SpanMillis = SpanMillis::new(400);
+pub(super) const LONG_POLL_MILLIS: SpanMillis = SpanMillis::new(400);
 /// The time in which a frame must have been sent or received.
-const FRAME_MILLIS: SpanMillis = SpanMillis::new(2_000);
+const FRAME_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(2_000);
 /// The pause after the system refused to hand over a connection.
 const ACCEPT_PAUSE_MILLIS: SpanMillis = SpanMillis::new(100);
 /// The most watchers of one replica.
@@ -51,16 +51,16 @@
     }
 
     /// Changes the directory; `change` tells whether watchers need to know.
-    pub(super) fn change(&self, change: impl FnOnce(&mut TargetDirectory) -> bool) {
-        if self.look(change) {
+    pub(super) fn update(&self, change: impl FnOnce(&mut TargetDirectory) -> bool) {
+        if self.with_directory(change) {
             self.changes.send_replace(());
         }
     }
 
     /// Returns the processes that run, once all agents have been heard.
     pub(super) fn settled_processes(&self, now: ClockMillis) -> Option<KnownProcesses> {
-        let agents =
-            self.look(|directory| directory.is_settled(now).then(|| directory.running()))?;
+        let agents = self
+            .with_directory(|directory| directory.is_settled(now).then(|| directory.running()))?;
         let balancers = self.watchers().clone();
         Some(KnownProcesses { agents, balancers })
     }
@@ -69,8 +69,8 @@
         self.watchers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn look<T>(&self, look: impl FnOnce(&mut TargetDirectory) -> T) -> T {
-        look(
+    fn with_directory<T>(&self, with_directory: impl FnOnce(&mut TargetDirectory) -> T) -> T {
+        with_directory(
             &mut self
                 .directory
                 .lock()
@@ -82,16 +82,20 @@
 /// Answers watchers with routes and targets.
 #[derive(Debug, Clone)]
 pub(super) struct WatchServer {
-    seat: ControlSeat,
+    replica: LocalReplica,
     directory: SharedDirectory,
     clock: ProcessClock,
 }
 
 impl WatchServer {
     /// Creates a server of this replica's routes and directory.
-    pub(super) fn new(seat: ControlSeat, directory: SharedDirectory, clock: ProcessClock) -> Self {
+    pub(super) fn new(
+        replica: LocalReplica,
+        directory: SharedDirectory,
+        clock: ProcessClock,
+    ) -> Self {
         Self {
-            seat,
+            replica,
             directory,
             clock,
         }
@@ -138,17 +142,17 @@
     /// Answers one watcher until it goes away; `watcher` tells who it is.
     async fn serve(&self, mut stream: TcpStream, watcher: &mut Option<Ipv4Addr>) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        let mut routes = self.seat.store().subscribe();
+        let mut routes = self.replica.store().subscribe();
         let mut changes = self.directory.changes.subscribe();
         loop {
-            let poll: WatchPoll = read_frame(&mut stream, FRAME_MILLIS.duration()).await?;
+            let poll: WatchPoll = read_frame(&mut stream, FRAME_TIMEOUT_MILLIS.duration()).await?;
             if watcher.replace(poll.watcher).is_none() {
                 self.directory.watchers().insert(poll.watcher);
             }
             routes.mark_unchanged();
             changes.mark_unchanged();
-            if !self.has_news(&poll) {
-                let _ = timeout(HOLD_MILLIS.duration(), async {
+            if !self.has_changes(&poll) {
+                let _ = timeout(LONG_POLL_MILLIS.duration(), async {
                     tokio::select! {
                         _ = routes.changed() => {}
                         _ = changes.changed() => {}
@@ -156,31 +160,36 @@
                 })
                 .await;
             }
-            write_frame(&mut stream, &self.news(&poll), FRAME_MILLIS.duration()).await?;
+            write_frame(
+                &mut stream,
+                &self.reply(&poll),
+                FRAME_TIMEOUT_MILLIS.duration(),
+            )
+            .await?;
         }
     }
 
-    fn has_news(&self, poll: &WatchPoll) -> bool {
-        self.seat.store().revision().count() > poll.version
-            || self.directory.look(|directory| directory.place()) != poll.place
+    fn has_changes(&self, poll: &WatchPoll) -> bool {
+        self.replica.store().revision().count() > poll.routes_version
+            || self.directory.with_directory(|directory| directory.place()) != poll.position
     }
 
-    fn news(&self, poll: &WatchPoll) -> WatchNews {
+    fn reply(&self, poll: &WatchPoll) -> WatchReply {
         let now = self.clock.now();
-        let held = self.seat.store().current();
+        let held = self.replica.store().current();
         let routes = held
-            .filter(|held| held.manifest.version > poll.version)
+            .filter(|held| held.manifest.version > poll.routes_version)
             .map(|held| held.manifest.clone());
-        let targets = self.directory.look(|directory| {
-            (directory.place() != poll.place).then(|| directory.news(poll.place, now))
+        let targets = self.directory.with_directory(|directory| {
+            (directory.place() != poll.position).then(|| directory.news(poll.position, now))
         });
-        let leader = self.seat.leader();
-        WatchNews {
+        let leader = self.replica.leader();
+        WatchReply {
             routes,
             targets,
-            members: self.seat.members(),
+            members: self.replica.members(),
             leader,
-            current: self.seat.is_caught_up(),
+            caught_up: self.replica.is_caught_up(),
         }
     }
 }
