--- a/src/fleet/entry_handle.rs
+++ b/src/fleet/entry_handle.rs
@@ -16,25 +16,25 @@
 /// Why a manifest was not acknowledged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ApplyRefusal {
-    /// Another VM takes it.
+    /// The call has to go to another VM.
     Redirect(SocketAddrV4),
-    /// It can't be committed now, or its outcome is unknown; it may be sent
-    /// again unchanged.
+    /// It can't be committed now, or its outcome is unknown; the same manifest
+    /// may be sent again.
     Unavailable,
 }
 
-/// Why the manifest was not read.
+/// Why a read of the manifest was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadRefusal {
-    /// Another VM answers it.
+    /// The call has to go to another VM.
     Redirect(SocketAddrV4),
-    /// No majority confirms which version is the newest.
+    /// No majority confirms which manifest is the newest.
     Unavailable,
-    /// Nothing was ever applied.
+    /// No manifest was ever applied.
     Empty,
 }
 
-/// What operators and the network's probes may ask of an entry VM.
+/// The calls that operators and readiness probes make to an entry VM.
 #[derive(Debug, Clone)]
 pub struct EntryHandle {
     replica: Option<LocalReplica>,
@@ -64,13 +64,14 @@
         self.ready.load(Ordering::Relaxed)
     }
 
-    /// Puts a manifest in force; it is synced on a majority when this succeeds.
+    /// Commits a manifest; on success it is synced on a majority of replicas.
     ///
-    /// A version that is not higher than the one in force changes nothing.
+    /// A manifest whose version is not higher than the applied one is
+    /// acknowledged and changes nothing.
     ///
     /// # Errors
     ///
-    /// Refuses when this VM can't commit it.
+    /// Refuses when this VM can't commit it, see [`ApplyRefusal`].
     pub async fn apply(
         &self,
         manifest: ListenerManifest,
@@ -92,11 +93,11 @@
         result
     }
 
-    /// Returns the newest accepted document.
+    /// Returns the document of the newest committed manifest.
     ///
     /// # Errors
     ///
-    /// Refuses when this VM can't be sure which one that is.
+    /// Refuses when this VM can't confirm which one that is, see [`ReadRefusal`].
     pub async fn read(&self) -> Result<Vec<u8>, ReadRefusal> {
         let result = self.confirmed_document().await;
         let outcome = result.as_ref().map(Vec::len);
@@ -113,11 +114,11 @@
         if replica.confirm_read().await.is_err() {
             return Err(ReadRefusal::Unavailable);
         }
-        let held = replica.store().current().ok_or(ReadRefusal::Empty)?;
-        Ok(held.document.clone())
+        let stored = replica.store().current().ok_or(ReadRefusal::Empty)?;
+        Ok(stored.document.clone())
     }
 
-    /// Returns where a refused call should go.
+    /// Returns the leader's address if the refusal names it.
     fn redirect(refusal: &CallRefusal) -> Option<SocketAddrV4> {
         match refusal {
             CallRefusal::NotLeader { leader } => *leader,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Returns the leader, or any replica.
+    /// Returns the address for operators of the leader, or else of any replica.
     fn any_member(&self) -> Option<SocketAddrV4> {
         let member = self
             .group
--- a/src/fleet/entry_maintenance.rs
+++ b/src/fleet/entry_maintenance.rs
@@ -1,5 +1,5 @@
-//! What an entry VM does beside forwarding: expiry, discovery, readiness, and
-//! answers to operators.
+//! The work of an entry VM besides forwarding: expiry, discovery, readiness, and
+//! inspections.
 
 use std::sync::atomic::Ordering;
 
@@ -10,7 +10,7 @@
     EntryNode, FleetEvent,
     entry_node::{
         DISCOVERY_INTERVAL_MILLIS, MAINTENANCE_INTERVAL_MILLIS, MAX_CONTROL_AGE_MILLIS,
-        SETTINGS_REREAD_MILLIS,
+        SEEDS_REREAD_MILLIS,
     },
     fleet_counters::publish_gauge,
     fleet_datagram::FleetDatagram,
@@ -19,7 +19,7 @@
 use crate::{clock::ClockMillis, event::log_event};
 
 impl EntryNode {
-    /// Does the timed work that is due.
+    /// Runs the timed work that is due.
     pub(super) fn run_due_work(&mut self) {
         let now = self.clock.now();
         for (flow, packet, to, header) in self.flows.expire_openings(now) {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Does the slow work: expiry, discovery, readiness, metrics.
+    /// Runs expiry, discovery, readiness and metrics.
     pub(super) fn run_maintenance(&mut self, now: ClockMillis) {
         if let Some(directory) = &self.directory {
             directory.update(|directory| directory.expire(now));
@@ -71,9 +71,9 @@
         if !self.is_control_fresh(now) {
             self.flows.set_current(false);
             self.locate_group();
-            if now >= self.settings_reread_at {
-                self.settings_reread_at = now.after(SETTINGS_REREAD_MILLIS);
-                self.reread_settings();
+            if now >= self.seeds_reread_at {
+                self.seeds_reread_at = now.after(SEEDS_REREAD_MILLIS);
+                self.reread_seeds();
             }
         }
         self.flows.sweep(now);
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Answers an operator's question.
+    /// Answers an inspection by an operator.
     pub(super) fn answer_inspection(&self, inspection: Inspection) {
         let now = self.clock.now();
         let reply = match inspection.request {
@@ -112,11 +112,12 @@
                 "flow": self.flows.find(flow, now),
             }),
         };
-        // An operator that went away needs no answer.
+        // The operator may have disconnected.
         let _ = inspection.reply_to.send(reply);
     }
 
-    /// Returns whether a replica that hears a leader was heard lately.
+    /// Returns whether a caught-up replica answered within
+    /// `MAX_CONTROL_AGE_MILLIS`.
     pub(super) fn is_control_fresh(&self, now: ClockMillis) -> bool {
         self.control_heard_at
             .is_some_and(|at| now.since(at) < MAX_CONTROL_AGE_MILLIS)
@@ -131,8 +132,8 @@
         }
     }
 
-    /// Reads the seeds again.
-    pub(super) fn reread_settings(&mut self) {
+    /// Rereads the seeds from the settings.
+    pub(super) fn reread_seeds(&mut self) {
         if let Some(seeds) = self.settings_source.seeds()
             && self.group.set_seeds(seeds.clone())
         {
@@ -140,9 +141,10 @@
         }
     }
 
-    /// Decides anew whether the network should send packets here.
+    /// Re-evaluates whether the network should send packets here.
     pub(super) fn update_ready(&mut self) {
-        // Cut off from control and agents alike, other balancers serve better.
+        // Other balancers serve better than one that reaches neither control nor
+        // agents.
         let cut_off = self.control_lost && self.flows.is_isolated();
         let ready = !self.stopping && !cut_off && self.flows.is_ready();
         if ready != self.ready.swap(ready, Ordering::Relaxed) {
--- a/src/fleet/entry_node.rs
+++ b/src/fleet/entry_node.rs
@@ -34,27 +34,27 @@
     listener::ListenerTable,
 };
 
-/// The largest packet with its header.
+/// The largest packet with its header, in bytes.
 pub(super) const MAX_PACKET_BYTES: usize = 2_048;
-/// The packets that are taken before other work gets its turn.
+/// The most packets handled before other work gets its turn.
 pub(super) const PACKETS_PER_TURN: usize = 64;
-/// How often slow work is done: expiry, discovery, sweeps.
+/// How often maintenance runs: expiry, discovery, sweeps.
 pub(super) const MAINTENANCE_INTERVAL_MILLIS: SpanMillis = SpanMillis::new(250);
-/// How often it is done while the control group is not heard: all VMs may have
-/// just started together.
+/// How often maintenance runs while no caught-up replica answers: all VMs may
+/// have just started together.
 pub(super) const DISCOVERY_INTERVAL_MILLIS: SpanMillis = SpanMillis::new(50);
-/// How often the settings are read again while the control group is not heard.
-pub(super) const SETTINGS_REREAD_MILLIS: SpanMillis = SpanMillis::new(1_000);
-/// How long a stopping process forwards packets: two missed probes of the
-/// network at two a second, and what is on its way.
+/// How often the seeds are reread while no caught-up replica answers.
+pub(super) const SEEDS_REREAD_MILLIS: SpanMillis = SpanMillis::new(1_000);
+/// How long a stopping process still forwards packets: the network stops sending
+/// after two missed probes at two a second, and packets may be on their way.
 pub(super) const STOP_DELAY_MILLIS: SpanMillis = SpanMillis::new(1_300);
-/// How long routes count as current after the last word of a replica.
+/// How long routes count as current after the last reply of a caught-up replica.
 pub(super) const MAX_CONTROL_AGE_MILLIS: SpanMillis = SpanMillis::new(1_500);
-/// The updates of the watch that wait.
+/// The capacity of the queue of watch updates.
 pub(super) const UPDATE_QUEUE_CAPACITY: usize = 16;
 
-/// The process on an entry VM: a balancer, and on VMs with a disk a replica of
-/// the control group.
+/// The process on an entry VM: a balancer, and on VMs with a disk a control
+/// replica.
 #[derive(Debug)]
 pub struct EntryNode {
     pub(super) settings: FleetSettings,
@@ -72,11 +72,12 @@
     pub(super) view: TargetView,
     pub(super) ready: Arc<AtomicBool>,
     pub(super) stopping: bool,
+    /// When a caught-up replica last answered.
     pub(super) control_heard_at: Option<ClockMillis>,
-    /// Whether the replica that was followed has not answered.
+    /// Whether the watched replica failed and none has answered since.
     pub(super) control_lost: bool,
     pub(super) maintenance_at: ClockMillis,
-    pub(super) settings_reread_at: ClockMillis,
+    pub(super) seeds_reread_at: ClockMillis,
     pub(super) log_limiter: LogLimiter,
     pub(super) counters: EntryCounters,
     pub(super) frame_buffer: Vec<u8>,
@@ -84,11 +85,12 @@
 
 impl EntryNode {
     /// Opens the sockets and starts the replica, if the VM has a disk; it must
-    /// be called within the runtime. `operator_port` is the port for operators.
+    /// be called within the runtime. `operator_port` is where replicas answer
+    /// operators.
     ///
     /// # Errors
     ///
-    /// Fails when an address can't be had.
+    /// Fails when a socket can't be bound or the replica can't be set up.
     pub async fn start(
         settings: FleetSettings,
         operator_port: u16,
@@ -142,7 +144,7 @@
             control_heard_at: None,
             control_lost: false,
             maintenance_at: clock.now(),
-            settings_reread_at: clock.now().after(SETTINGS_REREAD_MILLIS),
+            seeds_reread_at: clock.now().after(SEEDS_REREAD_MILLIS),
             log_limiter: LogLimiter::default(),
             counters: EntryCounters::default(),
             frame_buffer: Vec::with_capacity(MAX_PACKET_BYTES),
@@ -151,11 +153,12 @@
         Ok((node, handle))
     }
 
-    /// Forwards packets until the process is told to stop and has left in order.
+    /// Forwards packets until a stop signal and the orderly shutdown after it.
     ///
     /// # Errors
     ///
-    /// Fails when signals can't be listened for.
+    /// Fails when signal handlers can't be installed or the socket for
+    /// inspections can't be bound.
     pub async fn run(mut self) -> Result<(), FleetError> {
         let mut terminate = signal(SignalKind::terminate()).map_err(FleetError::Signals)?;
         let mut hangup = signal(SignalKind::hangup()).map_err(FleetError::Signals)?;
@@ -192,7 +195,7 @@
                 () = wait_for_signal(&mut terminate), if stop_at.is_none() => {
                     stop_at = Some(self.begin_stop());
                 }
-                () = wait_for_signal(&mut hangup) => self.reread_settings(),
+                () = wait_for_signal(&mut hangup) => self.reread_seeds(),
                 () = sleep_until(stop_at.unwrap_or(next_work_at)), if stop_at.is_some() => break,
             }
         }
@@ -209,10 +212,10 @@
         self.stopping = true;
         self.update_ready();
         if let Some(replica) = self.replica.clone() {
-            tokio::spawn(async move { replica.step_aside().await });
+            tokio::spawn(async move { replica.transfer_leadership().await });
         }
-        let most = self.settings.grace.less(SpanMillis::new(1_500));
-        Instant::now() + STOP_DELAY_MILLIS.min(most).duration()
+        let longest = self.settings.grace.less(SpanMillis::new(1_500));
+        Instant::now() + STOP_DELAY_MILLIS.min(longest).duration()
     }
 
     /// Returns when the next timed work is due.
@@ -266,7 +269,7 @@
         }
     }
 
-    /// Tells another process who belongs to the control group, if that is known.
+    /// Sends the members of the control group to another process, if known.
     pub(super) fn send_members(&self, to: Ipv4Addr) {
         let members = self.group.members();
         if !members.is_empty() {
@@ -323,7 +326,7 @@
     }
 }
 
-/// Waits for a signal; a closed stream of signals never brings one.
+/// Waits for a signal; never returns if the signal stream is closed.
 pub(super) async fn wait_for_signal(signals: &mut Signal) {
     if signals.recv().await.is_none() {
         std::future::pending::<()>().await;
--- a/src/fleet/entry_packets.rs
+++ b/src/fleet/entry_packets.rs
@@ -15,7 +15,7 @@
 };
 
 impl EntryNode {
-    /// Takes the packets that have arrived, some at a time.
+    /// Handles the packets that have arrived, at most `PACKETS_PER_TURN`.
     pub(super) fn receive_packets(&mut self) {
         let mut buffer = [0; MAX_PACKET_BYTES];
         for _ in 0..PACKETS_PER_TURN {
@@ -26,14 +26,14 @@
         }
     }
 
-    /// Counts a packet of a caller and decides on it.
+    /// Counts and dispatches a packet of a caller.
     pub(super) fn handle_packet(&mut self, bytes: &[u8]) {
         self.counters.received += 1;
         self.dispatch_packet(bytes, SpanMillis::ZERO);
     }
 
-    /// Forwards, refuses or keeps one packet, which arrived `kept` ago.
-    fn dispatch_packet(&mut self, bytes: &[u8], kept: SpanMillis) {
+    /// Forwards, refuses or parks one packet, which arrived `parked_for` ago.
+    fn dispatch_packet(&mut self, bytes: &[u8], parked_for: SpanMillis) {
         let now = self.clock.now();
         let mut packet = match self.codec.decode(bytes) {
             Ok(packet) => packet,
@@ -45,7 +45,7 @@
                 return;
             }
         };
-        packet.age = packet.age.plus(kept);
+        packet.age = packet.age.plus(parked_for);
         match self.flows.take_packet(&packet, bytes, now) {
             FlowVerdict::Forward { to, header } => {
                 self.log_forward(&packet, to, &header, now);
@@ -64,15 +64,15 @@
         }
     }
 
-    /// Decides again on the packets that waited for routes or targets.
+    /// Dispatches again the packets that were parked for routes or targets.
     pub(super) fn retry_parked(&mut self) {
-        for (kept, packet) in self.flows.take_parked(self.clock.now()) {
-            self.dispatch_packet(&packet, kept);
+        for (parked_for, packet) in self.flows.take_parked(self.clock.now()) {
+            self.dispatch_packet(&packet, parked_for);
         }
     }
 
-    /// Logs where an opening or a packet without a known owner goes; packets
-    /// of known flows have no line.
+    /// Logs the agent that gets an opening or a packet whose flow has no known
+    /// owner; packets of known flows are not logged.
     pub(super) fn log_forward(
         &mut self,
         packet: &FlowPacket,
@@ -116,7 +116,7 @@
     pub(super) fn forward(&mut self, packet: &[u8], to: Ipv4Addr, header: HopHeader) {
         header.encode(packet, &mut self.frame_buffer);
         let address = SocketAddrV4::new(to, self.settings.packet_address.port());
-        // A frame that the kernel does not take is lost, as any may be.
+        // A frame that the kernel refuses counts as lost on the network.
         match self
             .packet_socket
             .try_send_to(&self.frame_buffer, SocketAddr::V4(address))
@@ -129,7 +129,7 @@
     /// Sends a reset to a caller.
     pub(super) fn send_to_caller(&mut self, caller: Ipv4Addr, bytes: &[u8]) {
         let address = SocketAddrV4::new(caller, self.settings.packet_address.port());
-        // The caller repeats what it gets no answer to.
+        // The caller retransmits a packet that gets no answer.
         if self
             .packet_socket
             .try_send_to(bytes, SocketAddr::V4(address))
@@ -139,7 +139,8 @@
         }
     }
 
-    /// Takes an agent's report and sends what follows from it.
+    /// Applies an agent's report on a flow and sends the packet that results, if
+    /// any.
     pub(super) fn handle_report(&mut self, report: &FlowReport, now: ClockMillis) {
         if let Some(waited) = self.flows.opening_age(report.flow, now) {
             histogram!("cyclamen_entry_opening_ms").record(waited.millis_float());
--- a/src/fleet/entry_sockets.rs
+++ b/src/fleet/entry_sockets.rs
@@ -9,18 +9,18 @@
 use super::{FleetError, FleetEvent, fleet_datagram::FleetDatagram};
 use crate::event::log_event;
 
-/// The bytes that may wait in a socket; a burst of a tenth of a second fits.
+/// The receive buffer of a socket; a burst of a tenth of a second fits.
 const RECEIVE_BUFFER_BYTES: usize = 1 << 20;
 
-/// Opens a UDP socket with room for bursts; it must be called within the
-/// runtime.
+/// Opens a UDP socket with a receive buffer for bursts; it must be called within
+/// the runtime.
 pub(super) fn open_socket(
     address: SocketAddrV4,
     purpose: &'static str,
 ) -> Result<UdpSocket, FleetError> {
     let open = || -> io::Result<UdpSocket> {
         let socket = Socket::new(Domain::IPV4, Type::DGRAM, Some(Protocol::UDP))?;
-        // The default stays where the system allows no more.
+        // If the system refuses this size, its default stays.
         let _ = socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
         socket.set_nonblocking(true)?;
         socket.bind(&SocketAddr::V4(address).into())?;
@@ -33,7 +33,7 @@
     })
 }
 
-/// The socket for datagrams among processes of the deployment.
+/// The socket for datagrams between processes.
 #[derive(Debug)]
 pub(super) struct FleetSocket {
     socket: UdpSocket,
@@ -47,18 +47,18 @@
         Ok(Self { socket, port })
     }
 
-    /// Waits until a datagram may be there.
+    /// Waits until a datagram may have arrived.
     pub(super) async fn readable(&self) -> io::Result<()> {
         self.socket.readable().await
     }
 
-    /// Takes the next datagram into `buffer`, `None` if there is none.
+    /// Reads the next datagram into `buffer`; `None` if there is none.
     pub(super) fn receive(&self, buffer: &mut [u8]) -> Option<(usize, SocketAddr)> {
-        // An error is the same as no datagram: the sender repeats itself.
+        // An error counts as no datagram: senders retransmit.
         self.socket.try_recv_from(buffer).ok()
     }
 
-    /// Sends a datagram; what the network does not take is lost, as any may be.
+    /// Sends a datagram; one that the kernel refuses counts as lost on the network.
     pub(super) fn send(&self, to: Ipv4Addr, datagram: &FleetDatagram) {
         let Some(bytes) = datagram.encode() else {
             log_event!(error, FleetEvent::DatagramTooLong, %to);
--- a/src/fleet/fleet_counters.rs
+++ b/src/fleet/fleet_counters.rs
@@ -1,33 +1,33 @@
 use metrics::{counter, gauge};
 use serde::Serialize;
 
-/// What a balancer has counted since it started.
+/// The counters of a balancer since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize)]
 pub(super) struct EntryCounters {
-    /// Packets of callers.
+    /// Packets received from callers.
     pub(super) received: u64,
-    /// Datagrams that were no packets.
+    /// Datagrams that could not be decoded as packets.
     pub(super) undecodable: u64,
     /// Packets sent to agents.
     pub(super) forwarded: u64,
-    /// Openings among them.
+    /// Openings among the forwarded packets.
     pub(super) opened: u64,
-    /// Openings sent to another agent since the first one did not report.
+    /// Openings sent to another agent because the first one did not report.
     pub(super) resent: u64,
-    /// Packets of flows whose owner was looked for.
+    /// Packets of flows whose owner had to be searched for.
     pub(super) looked: u64,
-    /// Packets answered by a reset.
+    /// Packets answered with a reset.
     pub(super) refused: u64,
-    /// Flows reset since no target holds them.
+    /// Flows reset because no target holds them.
     pub(super) ended: u64,
-    /// Packets kept until routes and targets are known.
+    /// Packets parked until routes and targets are known.
     pub(super) parked: u64,
-    /// Packets that the kernel did not take.
+    /// Packets that the kernel did not accept for sending.
     pub(super) unsent: u64,
 }
 
 impl EntryCounters {
-    /// Offers the counts as metrics, one series for each kind.
+    /// Exports the counters as metrics, one series per kind.
     pub(super) fn publish(&self) {
         let kinds = [
             ("received", self.received),
@@ -47,20 +47,20 @@
     }
 }
 
-/// What an agent has counted since it started.
+/// The counters of an agent since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize)]
 pub(super) struct SideCounters {
-    /// Frames of balancers and other agents.
+    /// Frames received from balancers and other agents.
     pub(super) frames: u64,
-    /// Datagrams that were no frames or packets.
+    /// Datagrams that could not be decoded as frames or packets.
     pub(super) undecodable: u64,
-    /// Packets handed to the target.
+    /// Packets delivered to the target.
     pub(super) delivered: u64,
     /// Packets of the target sent to callers.
     pub(super) returned: u64,
     /// Packets passed on to other agents.
     pub(super) passed: u64,
-    /// Openings that the target left unanswered.
+    /// Openings that the target did not answer in time.
     pub(super) unanswered: u64,
     /// Openings that waited for a free slot of the target.
     pub(super) waited: u64,
@@ -68,12 +68,12 @@
     pub(super) reset: u64,
     /// Packets dropped.
     pub(super) dropped: u64,
-    /// Packets that the kernel did not take.
+    /// Packets that the kernel did not accept for sending.
     pub(super) unsent: u64,
 }
 
 impl SideCounters {
-    /// Offers the counts as metrics, one series for each kind.
+    /// Exports the counters as metrics, one series per kind.
     pub(super) fn publish(&self) {
         let kinds = [
             ("frames", self.frames),
@@ -93,7 +93,7 @@
     }
 }
 
-/// Offers a number that goes up and down.
+/// Exports a gauge.
 #[allow(clippy::cast_precision_loss, reason = "counts far below 2^52")]
 pub(super) fn publish_gauge(name: &'static str, value: usize) {
     gauge!(name).set(value as f64);
--- a/src/fleet/fleet_datagram.rs
+++ b/src/fleet/fleet_datagram.rs
@@ -4,19 +4,19 @@
 
 use crate::{directory::TargetRecord, flow::FlowReport};
 
-/// The largest datagram among processes of a deployment.
+/// The largest datagram between processes, in bytes.
 pub(super) const MAX_DATAGRAM_BYTES: usize = 1_400;
 
-/// A datagram among processes of a deployment.
+/// A datagram between processes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum FleetDatagram {
     /// An agent announces its target.
     Announce(TargetRecord),
     /// Asks for the members of the control group.
     Locate,
-    /// The members of the control group, as the sender knows them.
+    /// The members of the control group that the sender knows.
     Located {
-        /// Their addresses; none if the sender knows none.
+        /// Their addresses; empty if the sender knows none.
         members: Vec<Ipv4Addr>,
     },
     /// An agent reports on a flow.
@@ -24,13 +24,13 @@
 }
 
 impl FleetDatagram {
-    /// Returns the bytes, `None` if they don't fit a datagram.
+    /// Encodes the datagram; `None` if it exceeds `MAX_DATAGRAM_BYTES`.
     pub(super) fn encode(&self) -> Option<Vec<u8>> {
         let bytes = postcard::to_stdvec(self).ok()?;
         (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    /// Reads a datagram; `None` if the bytes are none.
+    /// Decodes a datagram; `None` if the bytes are malformed.
     pub(super) fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
--- a/src/fleet/fleet_error.rs
+++ b/src/fleet/fleet_error.rs
@@ -5,28 +5,28 @@
 
 use crate::{control::ReplicaShellError, secret::SecretError};
 
-/// Why a process of a deployment can't start or go on.
+/// Why an entry or side process can't start or keep running.
 #[derive(Debug, Error, Diagnostic)]
 pub enum FleetError {
-    /// An address can't be had.
+    /// A socket can't be bound to its address.
     #[error("cannot use {address} for {purpose}: {cause}")]
     Address {
         /// The address.
         address: SocketAddrV4,
-        /// What it is for.
+        /// What the socket is for.
         purpose: &'static str,
-        /// What the system answered.
+        /// The error of the operating system.
         #[source]
         cause: io::Error,
     },
-    /// Signals can't be listened for.
+    /// Signal handlers can't be installed.
     #[error("cannot listen for signals: {0}")]
     Signals(#[source] io::Error),
-    /// The control replica can't go on.
+    /// The control replica failed.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Replica(#[from] ReplicaShellError),
-    /// The keys of the links can't be made.
+    /// The keys of the links between replicas can't be derived.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Secret(#[from] SecretError),
--- a/src/fleet/fleet_settings.rs
+++ b/src/fleet/fleet_settings.rs
@@ -5,13 +5,12 @@
 
 use crate::clock::SpanMillis;
 
-/// The ports that processes of the deployment use among themselves; they are
-/// the same on every VM.
+/// The ports for traffic between processes; they are the same on every VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetPorts {
-    /// UDP: announcements, discovery and reports.
+    /// UDP: announcements, discovery and flow reports.
     pub datagrams: u16,
-    /// TCP: watchers of routes and targets.
+    /// TCP: the feed of routes and targets.
     pub watch: u16,
     /// TCP: links between control replicas.
     pub links: u16,
@@ -20,7 +19,7 @@
 }
 
 impl FleetPorts {
-    /// Takes the first ports of a range.
+    /// Assigns four consecutive ports from `first` on.
     #[must_use]
     pub const fn starting_at(first: u16) -> Self {
         Self {
@@ -32,53 +31,55 @@
     }
 }
 
-/// What every process of a deployment is told.
+/// The settings that entry and side processes share.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FleetSettings {
     /// The VM's name, for logs.
     pub name: String,
-    /// The address at which others reach the VM.
+    /// The address at which other VMs reach this one.
     pub address: Ipv4Addr,
     /// The failure domain.
     pub domain: String,
-    /// The ports among processes.
+    /// The ports for traffic between processes.
     pub ports: FleetPorts,
-    /// VMs to ask first; the port is where they answer operators.
+    /// The VMs to contact for discovery; the port is the one for operators.
     pub seeds: Vec<SocketAddrV4>,
-    /// Whether the whole deployment starts for the first time.
+    /// Whether the deployment starts for the first time, so that a seed may found
+    /// the control group.
     pub bootstrap: bool,
-    /// The folder of the control replica, on VMs with a disk.
+    /// The data folder of the control replica, on VMs with a disk.
     pub data_folder: Option<PathBuf>,
-    /// How many control replicas may be lost at once.
+    /// How many control replicas may fail at once.
     pub tolerated_losses: usize,
-    /// Where packets arrive, from callers or from balancers.
+    /// The address that receives packets: from callers on an entry VM, from
+    /// balancers and agents beside a target.
     pub packet_address: SocketAddrV4,
     /// How long a stopping process may take.
     pub grace: SpanMillis,
-    /// The age from which a flow may be forgotten.
+    /// The age from which the state of a flow may be dropped.
     pub max_flow_age: SpanMillis,
 }
 
 impl FleetSettings {
-    /// Returns the address that sockets listen at; it differs from the VM's
-    /// address where something forwards to it.
+    /// Returns the address that sockets bind to; it differs from the VM's address
+    /// if a proxy forwards to this process.
     #[must_use]
     pub const fn listen_address(&self) -> Ipv4Addr {
         *self.packet_address.ip()
     }
 }
 
-/// What an agent is told besides.
+/// The settings of an agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SideSettings {
-    /// What every process is told.
+    /// The settings shared with entry processes.
     pub fleet: FleetSettings,
     /// The name of the target's service.
     pub service: String,
-    /// Where the target takes packets.
+    /// The address at which the target receives packets.
     pub target: SocketAddrV4,
-    /// Where the target sends its packets.
+    /// The agent's address to which the target sends its packets.
     pub outbound: SocketAddrV4,
-    /// How often the target announces itself.
+    /// The interval of the target's announcements.
     pub heartbeat: SpanMillis,
 }
--- a/src/fleet/group_view.rs
+++ b/src/fleet/group_view.rs
@@ -5,11 +5,12 @@
 
 use tokio::sync::Notify;
 
-/// What a process knows of the control group; clones share it.
+/// The members, leader and seeds of the control group that a process knows;
+/// clones share them.
 #[derive(Debug, Clone)]
 pub(super) struct GroupView {
-    known: Arc<Mutex<GroupState>>,
-    changes: Arc<Notify>,
+    state: Arc<Mutex<GroupState>>,
+    notify: Arc<Notify>,
 }
 
 #[derive(Debug, Default)]
@@ -20,66 +21,67 @@
 }
 
 impl GroupView {
-    /// Creates the view of a process that knows only seeds.
+    /// Creates the view of a process that knows only the seeds.
     pub(super) fn new(seeds: Vec<SocketAddrV4>) -> Self {
-        let known = GroupState {
+        let state = GroupState {
             seeds,
             ..GroupState::default()
         };
         Self {
-            known: Arc::new(Mutex::new(known)),
-            changes: Arc::default(),
+            state: Arc::new(Mutex::new(state)),
+            notify: Arc::default(),
         }
     }
 
-    /// Replaces the seeds; returns whether they are others.
+    /// Replaces the seeds; returns whether they changed.
     pub(super) fn set_seeds(&self, seeds: Vec<SocketAddrV4>) -> bool {
-        self.with(|known| {
-            let other = known.seeds != seeds;
-            known.seeds = seeds;
-            other
+        self.with_state(|state| {
+            let changed = state.seeds != seeds;
+            state.seeds = seeds;
+            changed
         })
     }
 
-    /// Takes the members that somebody knows; an empty list says nothing.
+    /// Replaces the members, and the leader if there is one; an empty list of
+    /// members changes nothing.
     ///
-    /// Returns whether the members are others.
+    /// Returns whether the members changed.
     pub(super) fn update_members(&self, members: Vec<Ipv4Addr>, leader: Option<Ipv4Addr>) -> bool {
-        let other = self.with(|known| {
+        let changed = self.with_state(|state| {
             if members.is_empty() {
                 return false;
             }
-            known.leader = leader.or(known.leader);
-            let other = known.members != members;
-            known.members = members;
-            other
+            state.leader = leader.or(state.leader);
+            let changed = state.members != members;
+            state.members = members;
+            changed
         });
-        if other {
-            self.changes.notify_waiters();
+        if changed {
+            self.notify.notify_waiters();
         }
-        other
+        changed
     }
 
-    /// Waits until the members are others.
-    pub(super) async fn changed(&self) {
-        self.changes.notified().await;
+    /// Waits until the members change.
+    pub(super) async fn members_changed(&self) {
+        self.notify.notified().await;
     }
 
     /// Returns the members of the control group.
     pub(super) fn members(&self) -> Vec<Ipv4Addr> {
-        self.with(|known| known.members.clone())
+        self.with_state(|state| state.members.clone())
     }
 
-    /// Returns the leader that was last heard of.
+    /// Returns the last known leader.
     pub(super) fn leader(&self) -> Option<Ipv4Addr> {
-        self.with(|known| known.leader)
+        self.with_state(|state| state.leader)
     }
 
-    /// Returns members and seeds, whom to ask when nobody answers.
+    /// Returns the members and then the seeds that are not among them.
     pub(super) fn contacts(&self) -> Vec<Ipv4Addr> {
-        self.with(|known| {
-            let mut contacts = known.members.clone();
-            for seed in &known.seeds {
+        self.with_state(|state| {
+            let mut contacts = state.members.clone();
+            for seed in &state.seeds {
                 if !contacts.contains(seed.ip()) {
                     contacts.push(*seed.ip());
                 }
@@ -88,7 +90,7 @@
         })
     }
 
-    fn with<T>(&self, look: impl FnOnce(&mut GroupState) -> T) -> T {
-        look(&mut self.known.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with_state<T>(&self, access: impl FnOnce(&mut GroupState) -> T) -> T {
+        access(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
--- a/src/fleet/inspect_server.rs
+++ b/src/fleet/inspect_server.rs
@@ -12,36 +12,35 @@
 use super::FleetError;
 use crate::{clock::SpanMillis, flow::FlowKey};
 
-/// The largest question in bytes.
+/// The largest request in bytes.
 const MAX_REQUEST_BYTES: u64 = 4_096;
 /// How long an inspection may take.
 const INSPECT_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(2_000);
-/// The most inspections at a time.
+/// The most concurrent inspections.
 const MAX_INSPECTIONS: usize = 4;
-/// The pause after the system refused to hand over a connection.
+/// The pause after a failed accept.
 const ACCEPT_PAUSE_MILLIS: SpanMillis = SpanMillis::new(100);
 
-/// What an operator wants to know of a process; one line of JSON.
+/// What an operator asks a process for, as one line of JSON.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InspectQuestion {
     /// Its whole state.
     Dump,
-    /// What it knows of a flow.
+    /// What it knows about a flow.
     Flow(FlowKey),
 }
 
-/// A question on its way to the process's loop.
+/// A request on its way to the process's event loop.
 #[derive(Debug)]
 pub(super) struct Inspection {
-    /// The question.
     pub(super) request: InspectQuestion,
     /// Where the answer goes.
     pub(super) reply_to: oneshot::Sender<Value>,
 }
 
-/// Starts to answer questions at `address`; returns where they arrive. It must
-/// be called within the runtime.
+/// Listens for requests at `address` and returns the channel that delivers them.
+/// It must be called within the runtime.
 pub(super) async fn start_inspections(
     address: SocketAddrV4,
 ) -> Result<mpsc::Receiver<Inspection>, FleetError> {
@@ -65,7 +64,7 @@
             };
             let requests = requests.clone();
             tokio::spawn(async move {
-                // An operator that went away asks again.
+                // An operator whose inspection failed asks again.
                 let _ = timeout(
                     INSPECT_TIMEOUT_MILLIS.duration(),
                     serve_inspection(stream, requests),
@@ -103,11 +102,11 @@
     }
 }
 
-/// Asks the process whose inspections are answered at `address`.
+/// Sends a request to the process that answers inspections at `address`.
 ///
 /// # Errors
 ///
-/// Fails when it is not reached within two seconds, or answers no JSON.
+/// Fails when it does not answer within two seconds, or not with JSON.
 pub async fn inspect_process(
     address: SocketAddrV4,
     request: InspectQuestion,
--- a/src/fleet/local_replica.rs
+++ b/src/fleet/local_replica.rs
@@ -23,41 +23,41 @@
 /// The folder of the log within the data folder.
 const LOG_FOLDER: &str = "log";
 
-/// The control replica of a VM with a disk.
+/// The control replica of this process, on a VM with a disk.
 #[derive(Debug, Clone)]
 pub(super) struct LocalReplica {
     store: ListenerStore,
     /// The replica, once its data folder is open.
-    replica: watch::Receiver<Option<ReplicaHandle>>,
+    handle: watch::Receiver<Option<ReplicaHandle>>,
 }
 
 impl LocalReplica {
-    /// Starts to open the data folder, which may take as long as the disk
-    /// stalls. It must be called within the runtime.
+    /// Starts the replica; its data folder is opened in the background, since the
+    /// disk may stall. It must be called within the runtime.
     pub(super) fn start(
         settings: &FleetSettings,
         operator_port: u16,
         folder: &Path,
     ) -> Result<Self, FleetError> {
         let options = replica_options(settings, operator_port, folder.join(LOG_FOLDER));
-        let secret = SecretStore::new(&network_secret())?;
+        let secret = SecretStore::new(&default_secret())?;
         let store = ListenerStore::new();
-        let (opened, replica) = watch::channel(None);
+        let (handle_sender, handle) = watch::channel(None);
         let state = ReplicatedState::Listeners(store.clone());
         tokio::spawn(async move {
             match start_replica(options, state, secret).await {
                 Ok(RunningReplica { handle, task }) => {
                     log_event!(info, FleetEvent::SeatOpened);
-                    opened.send_replace(Some(handle));
+                    handle_sender.send_replace(Some(handle));
                     if let Ok(error) = task.await {
                         log_event!(error, FleetEvent::SeatFailed, %error);
                     }
-                    opened.send_replace(None);
+                    handle_sender.send_replace(None);
                 }
                 Err(error) => log_event!(error, FleetEvent::SeatFailed, %error),
             }
         });
-        Ok(Self { store, replica })
+        Ok(Self { store, handle })
     }
 
     /// Returns the routes that this replica has applied.
@@ -65,12 +65,12 @@
         &self.store
     }
 
-    /// Returns the members of the group, none while it is in no group.
+    /// Returns the members of the group; empty while the replica is in no group.
     pub(super) fn members(&self) -> Vec<Ipv4Addr> {
-        let Some(replica) = self.handle() else {
+        let Some(handle) = self.handle() else {
             return Vec::new();
         };
-        let view = replica.view();
+        let view = handle.view();
         if view.group.is_none() {
             return Vec::new();
         }
@@ -80,7 +80,7 @@
             .collect()
     }
 
-    /// Returns the leader that this replica hears, or is.
+    /// Returns the leader that this replica follows, or itself if it leads.
     pub(super) fn leader(&self) -> Option<Ipv4Addr> {
         let view = self.handle()?.view();
         match view.role {
@@ -91,34 +91,34 @@
         }
     }
 
-    /// Returns whether the routes applied here are as new as the leader's.
+    /// Returns whether this replica hears a leader and misses nothing that earlier
+    /// leaders committed.
     pub(super) fn is_caught_up(&self) -> bool {
-        self.handle()
-            .is_some_and(|replica| replica.view().caught_up)
+        self.handle().is_some_and(|handle| handle.view().caught_up)
     }
 
-    /// Names the places to ask for admission.
+    /// Sets the replicas to ask for admission to the group.
     pub(super) fn update_peers(&self, members: &[Ipv4Addr]) {
-        if let Some(replica) = self.handle() {
-            replica.meet_peers(members.iter().copied().map(ReplicaId::at).collect());
+        if let Some(handle) = self.handle() {
+            handle.meet_peers(members.iter().copied().map(ReplicaId::at).collect());
         }
     }
 
-    /// Commits a manifest; one that is not newer than the one held is committed
-    /// already.
+    /// Commits a manifest; one that is no newer than the applied one counts as
+    /// committed.
     ///
     /// # Errors
     ///
-    /// Refuses when it was not taken, or when its outcome is unknown.
+    /// Refuses when it was not accepted, or when its outcome is unknown.
     pub(super) async fn apply(&self, stored: &StoredManifest) -> Result<(), CallRefusal> {
-        let held = self.store.current();
-        if held.is_some_and(|held| held.manifest.version >= stored.manifest.version) {
+        let applied = self.store.current();
+        if applied.is_some_and(|applied| applied.manifest.version >= stored.manifest.version) {
             return Ok(());
         }
-        let replica = self.handle().ok_or(CallRefusal::NoQuorum)?;
-        // A manifest that can't be encoded was never sent anywhere.
+        let handle = self.handle().ok_or(CallRefusal::NoQuorum)?;
+        // If the manifest can't be encoded, nothing was proposed.
         let command = stored.encode().map_err(|_| CallRefusal::NoQuorum)?;
-        replica.propose(command).await.map(|_| ())
+        handle.propose(command).await.map(|_| ())
     }
 
     /// Confirms with a majority that the routes applied here are the newest.
@@ -127,19 +127,20 @@
     ///
     /// Refuses when no majority confirms it in time.
     pub(super) async fn confirm_read(&self) -> Result<(), CallRefusal> {
-        let replica = self.handle().ok_or(CallRefusal::NoQuorum)?;
-        replica.confirm_read().await.map(|_| ())
+        let handle = self.handle().ok_or(CallRefusal::NoQuorum)?;
+        handle.confirm_read().await.map(|_| ())
     }
 
-    /// Has another replica lead before this one stops.
-    pub(super) async fn step_aside(&self) {
-        if let Some(replica) = self.handle() {
-            replica.step_aside().await;
+    /// Transfers leadership to another replica before this one stops, if one can
+    /// take over in time.
+    pub(super) async fn transfer_leadership(&self) {
+        if let Some(handle) = self.handle() {
+            handle.step_aside().await;
         }
     }
 
     fn handle(&self) -> Option<ReplicaHandle> {
-        self.replica.borrow().clone()
+        self.handle.borrow().clone()
     }
 }
 
@@ -177,9 +178,10 @@
     }
 }
 
-/// Returns the secret of deployments that hand out none: it keeps stray and
-/// damaged frames off the links, and the network has to keep strangers off.
-fn network_secret() -> DeploymentSecret {
+/// Returns the fixed secret of deployments without one of their own. It only
+/// rejects stray and damaged frames; the network has to keep untrusted senders
+/// off the links.
+fn default_secret() -> DeploymentSecret {
     DeploymentSecret {
         active: 0,
         epochs: vec![SecretEpoch {
--- a/src/fleet/log_limiter.rs
+++ b/src/fleet/log_limiter.rs
@@ -6,12 +6,12 @@
     event::log_event,
 };
 
-/// The lines of one event that are written in a second; the rest is counted.
+/// The most lines of one event in a second; further ones are only counted.
 const MAX_LINES_PER_SECOND: u32 = 50;
-/// The time that a budget is for.
+/// The window over which lines are counted.
 const WINDOW_MILLIS: SpanMillis = SpanMillis::new(1_000);
 
-/// Bounds the lines that packets cause, and tells how many were left out.
+/// Limits the log lines that packets cause and logs how many were omitted.
 #[derive(Debug, Default)]
 pub(super) struct LogLimiter {
     window_start: ClockMillis,
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! A deployment whose machines find each other from a few seeds.
+//! The processes of a deployment that discover each other from seed addresses.
 //!
-//! Every entry VM runs a balancer; those with a disk also hold a replica of the
-//! control group. An agent runs beside every target. The shells here own
-//! sockets, clocks and tasks; decisions are made in `flow`, `directory`,
-//! `listener` and `control`.
+//! Every entry VM runs a balancer; those with a disk also run a replica of the
+//! control group. An agent runs beside every target. The types here own
+//! sockets, clocks and tasks; `flow`, `directory`, `listener` and `control` make
+//! the decisions.
 
 mod entry_handle;
 mod entry_maintenance;
--- a/src/fleet/process_file.rs
+++ b/src/fleet/process_file.rs
@@ -13,57 +13,60 @@
 /// The name of the file within the data folder.
 const FILE_NAME: &str = "processes";
 
-/// Remembers which processes run, so that a replica that starts again tells them
-/// where it is and knows when it has heard every agent. It is a hint: a lost file costs only time.
+/// Persists which processes run, so that a restarted replica can notify them of
+/// the control group and knows when it has heard every agent.
+///
+/// The file is a hint: losing it costs only time.
 #[derive(Debug)]
 pub(super) struct ProcessFile {
-    read: Receiver<KnownProcesses>,
-    writes: Sender<KnownProcesses>,
+    loaded: Receiver<KnownProcesses>,
+    write_sender: Sender<KnownProcesses>,
     last_written: KnownProcesses,
 }
 
 impl ProcessFile {
-    /// Starts the thread that reads the file once and writes it from then on,
-    /// since a disk may stall.
+    /// Starts a thread that reads the file once and writes it from then on, so
+    /// that a stalled disk does not block the process.
     pub(super) fn open(folder: &Path) -> Self {
         let path = folder.join(FILE_NAME);
-        let (found, read) = mpsc::channel();
-        let (writes, queue) = mpsc::channel();
+        let (loaded_sender, loaded) = mpsc::channel();
+        let (write_sender, write_requests) = mpsc::channel();
         let spawned = thread::Builder::new()
             .name("process-file".to_owned())
             .spawn(move || {
-                // A process that has ended needs nothing.
-                let _ = found.send(read_known(&path));
-                write_newest(&path, &queue);
+                // The receiver is gone when the process is stopping.
+                let _ = loaded_sender.send(load_processes(&path));
+                write_latest(&path, &write_requests);
             });
         if let Err(error) = spawned {
             log_event!(warn, FleetEvent::AgentsUnwritten, %error);
         }
         Self {
-            read,
-            writes,
+            loaded,
+            write_sender,
             last_written: KnownProcesses::default(),
         }
     }
 
-    /// Returns, once, the processes that ran when the file was last written.
+    /// Returns, once, the processes that ran when the file was last written;
+    /// `None` until the file is read.
     pub(super) fn poll_loaded(&mut self) -> Option<KnownProcesses> {
-        let known = self.read.try_recv().ok()?;
+        let known = self.loaded.try_recv().ok()?;
         self.last_written.clone_from(&known);
         Some(known)
     }
 
-    /// Has the file name these processes, unless it does.
+    /// Writes these processes to the file if they differ from the last ones.
     pub(super) fn write(&mut self, known: KnownProcesses) {
         if known != self.last_written {
             self.last_written.clone_from(&known);
-            // Without its thread the file stays old, which costs only time.
-            let _ = self.writes.send(known);
+            // Without the thread the file stays outdated, which costs only time.
+            let _ = self.write_sender.send(known);
         }
     }
 }
 
-fn read_known(path: &Path) -> KnownProcesses {
+fn load_processes(path: &Path) -> KnownProcesses {
     match read_file(path) {
         Ok(known) => known.unwrap_or_default(),
         Err(error) => {
@@ -73,9 +76,9 @@
     }
 }
 
-fn write_newest(path: &Path, queue: &Receiver<KnownProcesses>) {
-    while let Ok(mut known) = queue.recv() {
-        while let Ok(newer) = queue.try_recv() {
+fn write_latest(path: &Path, write_requests: &Receiver<KnownProcesses>) {
+    while let Ok(mut known) = write_requests.recv() {
+        while let Ok(newer) = write_requests.try_recv() {
             known = newer;
         }
         if let Err(error) = replace_file(path, &known) {
--- a/src/fleet/restart_notifier.rs
+++ b/src/fleet/restart_notifier.rs
@@ -4,20 +4,21 @@
 
 use crate::clock::{ClockMillis, SpanMillis};
 
-/// How long processes that ran before are told where the control group is: VMs
-/// that get their power back together start within some tenths of a second.
+/// How long processes that ran before a restart are notified of the control
+/// group: VMs whose power returns together start within some tenths of a second.
 const NOTIFY_MILLIS: SpanMillis = SpanMillis::new(1_000);
 
-/// The processes that a replica knows to run.
+/// The processes that a replica knows to be running.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(super) struct KnownProcesses {
-    /// Agents, from its directory.
+    /// The agents in its directory.
     pub(super) agents: BTreeSet<Ipv4Addr>,
-    /// Balancers that follow it.
+    /// The balancers that watch it.
     pub(super) balancers: BTreeSet<Ipv4Addr>,
 }
 
-/// Whom a replica that has just started tells where the control group is.
+/// Selects the processes that a replica notifies of the control group's members
+/// after its start.
 ///
 /// Processes without a disk know only the seeds, which may be the last to start.
 #[derive(Debug, Default)]
@@ -27,20 +28,21 @@
 }
 
 impl RestartNotifier {
-    /// Sets the processes that ran before this replica started.
+    /// Starts to notify the processes that ran before this replica started.
     pub(super) fn start(&mut self, known: &KnownProcesses, now: ClockMillis) {
         self.pending = known.agents.union(&known.balancers).copied().collect();
         self.deadline = now.after(NOTIFY_MILLIS);
     }
 
-    /// Notes that a process was heard: it knows the group.
+    /// Stops notifying a process that has contacted this replica: it knows the
+    /// group.
     pub(super) fn note_heard(&mut self, process: Ipv4Addr) {
         self.pending.remove(&process);
     }
 
-    /// Returns whom to tell now.
+    /// Returns the processes to notify now.
     pub(super) fn recipients(&self, now: ClockMillis) -> impl Iterator<Item = Ipv4Addr> {
-        let open = now < self.deadline;
-        self.pending.iter().copied().filter(move |_| open)
+        let active = now < self.deadline;
+        self.pending.iter().copied().filter(move |_| active)
     }
 }
--- a/src/fleet/side_handle.rs
+++ b/src/fleet/side_handle.rs
@@ -3,33 +3,33 @@
 use super::target_tracker::NoticeVerdict;
 use crate::clock::SpanMillis;
 
-/// Whether a target takes new flows, in its own words.
+/// Whether a target accepts new flows, as it reports itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetState {
-    /// It takes new flows.
+    /// It accepts new flows.
     Ready,
-    /// It is about to end.
+    /// It is about to stop and accepts no new flows.
     Draining,
 }
 
-/// What a target says of itself.
+/// An announcement of a target to its agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetNotice {
-    /// Its name; a target that starts again may have the same.
+    /// The target's id; a restarted target may have the same.
     pub id: String,
-    /// When it started, in Unix milliseconds by its own clock; zero if untold.
+    /// When it started, in Unix milliseconds by its own clock; zero if unknown.
     pub started_at: u64,
-    /// Counts its announcements since it started.
+    /// The number of this announcement since the target started.
     pub sequence: u64,
-    /// Whether it takes new flows.
+    /// Whether it accepts new flows.
     pub state: TargetState,
-    /// How much longer it works slowly after its start.
+    /// How much longer it is slow after its start.
     pub warm_up_left: SpanMillis,
-    /// How many requests it works on at a time, if it says so.
+    /// How many requests it handles at a time, if it reports that.
     pub slots: Option<u32>,
 }
 
-/// What the target's calls want of the agent.
+/// A call of the target to its agent.
 #[derive(Debug)]
 pub(super) enum SideCommand {
     /// The target announces itself.
@@ -44,23 +44,25 @@
     },
 }
 
-/// Hands the target's calls to the agent.
+/// Passes the target's calls to the agent's event loop.
 #[derive(Debug, Clone)]
 pub struct SideHandle {
     pub(super) commands: mpsc::Sender<SideCommand>,
 }
 
 impl SideHandle {
-    /// Takes an announcement of the target. When it returns true, the agent acts
-    /// on it: a draining target gets no new flow.
+    /// Passes an announcement to the agent; false if the agent is stopping.
+    ///
+    /// Once this returns true, the agent has handled it: a draining target gets
+    /// no new flow.
     pub async fn announce(&self, notice: TargetNotice) -> bool {
         let (answer, verdict) = oneshot::channel();
         let command = SideCommand::Announce { notice, answer };
         self.commands.send(command).await.is_ok() && verdict.await.is_ok()
     }
 
-    /// Takes word that the target called `id` has ended; returns whether the
-    /// agent acts on it.
+    /// Tells the agent that the target called `id` has ended; false if the agent
+    /// is stopping.
     pub async fn note_ended(&self, id: String) -> bool {
         let (answer, verdict) = oneshot::channel();
         let command = SideCommand::End { id, answer };
--- a/src/fleet/side_node.rs
+++ b/src/fleet/side_node.rs
@@ -29,25 +29,25 @@
     listener::ServiceTag,
 };
 
-/// The largest frame: packet, header and candidates.
+/// The largest frame in bytes: packet, header and candidates.
 pub(super) const MAX_FRAME_BYTES: usize = 2_048;
-/// The packets that are taken before other work gets its turn.
+/// The most packets handled before other work gets its turn.
 pub(super) const PACKETS_PER_TURN: usize = 64;
-/// The shortest time between two announcements; a change is repeated at once,
-/// since datagrams may be lost.
-pub(super) const REPEAT_MILLIS: SpanMillis = SpanMillis::new(100);
-/// How often a silent target is looked after.
-pub(super) const PROBE_MILLIS: SpanMillis = SpanMillis::new(1_000);
-/// How long a connection to the target may take on its own VM.
-pub(super) const PROBE_ANSWER_MILLIS: SpanMillis = SpanMillis::new(300);
-/// How often a change is repeated.
+/// The interval of repeated announcements: after a change, since datagrams may be
+/// lost, and while no control replica is known.
+pub(super) const REPEAT_INTERVAL_MILLIS: SpanMillis = SpanMillis::new(100);
+/// How often a silent or suspected target is probed.
+pub(super) const PROBE_INTERVAL_MILLIS: SpanMillis = SpanMillis::new(1_000);
+/// How long connecting to the target, on the same VM, may take.
+pub(super) const PROBE_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(300);
+/// How many times the announcement of a change is repeated.
 pub(super) const CHANGE_REPEATS: u32 = 2;
-/// The calls of the target that wait.
+/// The capacity of the queues of the target's calls and of probe results.
 pub(super) const QUEUE_CAPACITY: usize = 64;
-/// The silence of the control group after which it is looked for.
+/// The silence of the control group after which the seeds are contacted again.
 pub(super) const GROUP_LOST_MILLIS: SpanMillis = SpanMillis::new(1_500);
 
-/// The process beside a target.
+/// The agent process beside a target.
 #[derive(Debug)]
 pub struct SideNode {
     pub(super) settings: SideSettings,
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when an address can't be had.
+    /// Fails when a socket can't be bound.
     pub fn start(
         settings: SideSettings,
         codec: Arc<dyn PacketCodec>,
@@ -119,15 +119,16 @@
         Ok((node, SideHandle { commands: sender }))
     }
 
-    /// Serves the target until the process is told to stop.
+    /// Serves the target until a stop signal.
     ///
     /// # Errors
     ///
-    /// Fails when signals can't be listened for.
+    /// Fails when signal handlers can't be installed or the socket for
+    /// inspections can't be bound.
     pub async fn run(mut self) -> Result<(), FleetError> {
         let mut terminate = signal(SignalKind::terminate()).map_err(FleetError::Signals)?;
         let mut hangup = signal(SignalKind::hangup()).map_err(FleetError::Signals)?;
-        let (probes, mut presence) = mpsc::channel(QUEUE_CAPACITY);
+        let (probes, mut probe_results) = mpsc::channel(QUEUE_CAPACITY);
         self.probes = probes;
         self.probe_target(self.clock.now());
         let fleet = &self.settings.fleet;
@@ -149,9 +150,9 @@
                 _ = self.fleet_socket.readable() => self.receive_datagrams(),
                 Some(command) = self.commands.recv() => self.handle_command(command),
                 Some(inspection) = inspections.recv() => self.answer_inspection(inspection),
-                Some(present) = presence.recv() => self.handle_probe_result(present),
+                Some(present) = probe_results.recv() => self.handle_probe_result(present),
                 () = sleep_until(next_work_at) => self.run_due_work(),
-                () = wait_for_signal(&mut hangup) => self.reread_settings(),
+                () = wait_for_signal(&mut hangup) => self.reread_seeds(),
                 () = wait_for_signal(&mut terminate) => break,
             }
         }
@@ -214,7 +215,7 @@
                 "flow": self.flows.find(flow, now),
             }),
         };
-        // An operator that went away needs no answer.
+        // The operator may have disconnected.
         let _ = inspection.reply_to.send(reply);
     }
 
@@ -227,7 +228,7 @@
                 self.group_heard_at = self.clock.now();
                 if self.group.update_members(members.clone(), None) {
                     log_event!(info, FleetEvent::CoreFound, ?members);
-                    // Members that are new to this agent have not heard of its target.
+                    // New members have not heard of this agent's target yet.
                     self.announce_at = self.group_heard_at;
                 }
             }
--- a/src/fleet/side_packets.rs
+++ b/src/fleet/side_packets.rs
@@ -16,7 +16,7 @@
 };
 
 impl SideNode {
-    /// Takes the frames that have arrived, some at a time.
+    /// Handles the frames that have arrived, at most `PACKETS_PER_TURN`.
     pub(super) fn receive_frames(&mut self) {
         let mut buffer = [0; MAX_FRAME_BYTES];
         for _ in 0..PACKETS_PER_TURN {
@@ -28,7 +28,7 @@
         self.admit_waiting(self.clock.now());
     }
 
-    /// Decides on a caller's packet.
+    /// Handles a frame with a caller's packet.
     pub(super) fn handle_frame(&mut self, bytes: &mut [u8]) {
         let now = self.clock.now();
         self.counters.frames += 1;
@@ -50,7 +50,7 @@
         self.apply_step(step, frame.packet, packet.caller_flow(), now);
     }
 
-    /// Counts and logs a datagram that can not be read.
+    /// Counts and logs a datagram that can't be decoded.
     pub(super) fn refuse_datagram(&mut self, cause: &'static str, now: ClockMillis) {
         self.counters.undecodable += 1;
         if self.log_limiter.allows(FleetEvent::DatagramRefused, now) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Takes the packets that the target has sent, some at a time.
+    /// Handles the packets that the target has sent, at most `PACKETS_PER_TURN`.
     pub(super) fn receive_target_packets(&mut self) {
         let mut buffer = [0; MAX_FRAME_BYTES];
         for _ in 0..PACKETS_PER_TURN {
@@ -70,7 +70,7 @@
         self.admit_waiting(self.clock.now());
     }
 
-    /// Decides on a packet that the target has sent or given back.
+    /// Handles a packet that the target has sent or bounced.
     pub(super) fn handle_target_packet(&mut self, bytes: &mut [u8]) {
         let now = self.clock.now();
         let Ok(packet) = self.codec.decode(bytes) else {
@@ -89,7 +89,7 @@
         self.apply_step(step, bytes, flow, now);
     }
 
-    /// Does what was decided on a packet.
+    /// Carries out the decision on a packet and sends its report, if any.
     pub(super) fn apply_step(
         &mut self,
         step: AgentStep,
@@ -100,7 +100,7 @@
         match step.action {
             AgentAction::Deliver { tag } => {
                 self.codec.prepare(packet, tag);
-                // What the kernel does not take is lost, as any packet may be.
+                // A packet that the kernel refuses counts as lost on the network.
                 let sent = self
                     .target_socket
                     .try_send_to(packet, SocketAddr::V4(self.settings.target));
@@ -117,7 +117,7 @@
                 self.codec.prepare(packet, 0);
                 header.encode(packet, &mut self.frame_buffer);
                 let address = SocketAddrV4::new(to, self.settings.fleet.packet_address.port());
-                // A frame that the kernel does not take is lost, as any may be.
+                // A frame that the kernel refuses counts as lost on the network.
                 let sent = self
                     .frame_socket
                     .try_send_to(&self.frame_buffer, SocketAddr::V4(address));
@@ -157,16 +157,16 @@
         }
     }
 
-    /// Hands over the openings that waited for a free slot, and refuses those
-    /// that can't be served any more.
+    /// Admits waiting openings to free slots, and refuses those that can't be
+    /// served any more.
     pub(super) fn admit_waiting(&mut self, now: ClockMillis) {
-        while let Some(mut end) = self.flows.next_waiting(now) {
-            histogram!("cyclamen_side_wait_ms").record(end.waited.millis_float());
+        while let Some(mut wait_end) = self.flows.next_waiting(now) {
+            histogram!("cyclamen_side_wait_ms").record(wait_end.waited.millis_float());
             if self.log_limiter.allows(FleetEvent::WaitEnded, now) {
                 let (busy, waiting) = (self.flows.busy(), self.flows.waiting());
-                log_event!(info, FleetEvent::WaitEnded, flow = %end.flow, waited = %end.waited, action = %end.step.action, busy, waiting);
+                log_event!(info, FleetEvent::WaitEnded, flow = %wait_end.flow, waited = %wait_end.waited, action = %wait_end.step.action, busy, waiting);
             }
-            self.apply_step(end.step, &mut end.packet, end.flow, now);
+            self.apply_step(wait_end.step, &mut wait_end.packet, wait_end.flow, now);
         }
     }
 
@@ -174,7 +174,7 @@
     pub(super) fn send_to_caller(&mut self, flow: FlowKey, bytes: &[u8]) {
         let port = self.settings.fleet.packet_address.port();
         let address = SocketAddrV4::new(*flow.caller.ip(), port);
-        // The ends of a flow repeat what is lost.
+        // Both ends of a flow retransmit what is lost.
         if self
             .frame_socket
             .try_send_to(bytes, SocketAddr::V4(address))
--- a/src/fleet/side_target.rs
+++ b/src/fleet/side_target.rs
@@ -1,4 +1,4 @@
-//! What an agent does about its target: judging, probing, announcing it.
+//! How an agent assesses, probes and announces its target.
 
 use std::net::Ipv4Addr;
 
@@ -10,7 +10,8 @@
     fleet_datagram::FleetDatagram,
     side_handle::SideCommand,
     side_node::{
-        CHANGE_REPEATS, GROUP_LOST_MILLIS, PROBE_ANSWER_MILLIS, PROBE_MILLIS, REPEAT_MILLIS,
+        CHANGE_REPEATS, GROUP_LOST_MILLIS, PROBE_INTERVAL_MILLIS, PROBE_TIMEOUT_MILLIS,
+        REPEAT_INTERVAL_MILLIS,
     },
     target_tracker::NoticeVerdict,
 };
@@ -21,8 +22,8 @@
 };
 
 impl SideNode {
-    /// Decides anew whether the target takes flows; returns what balancers
-    /// should know.
+    /// Updates whether the target accepts flows, resets the flows that are gone,
+    /// and returns the standing to announce.
     pub(super) fn refresh_standing(&mut self, now: ClockMillis) -> TargetStanding {
         let target = self.tracker.target();
         let incarnation = self.tracker.incarnation();
@@ -45,31 +46,31 @@
         self.tracker.standing(target, suspect || silent, now)
     }
 
-    /// Looks whether anything listens at the target's address; on one VM that
-    /// is decided at once.
+    /// Probes whether anything listens at the target's address; on the same VM a
+    /// connection succeeds or fails at once.
     pub(super) fn probe_target(&mut self, now: ClockMillis) {
-        self.probe_at = now.after(PROBE_MILLIS);
+        self.probe_at = now.after(PROBE_INTERVAL_MILLIS);
         let target = self.settings.target;
         let probes = self.probes.clone();
         tokio::spawn(async move {
             let connect = TcpStream::connect(target);
             let present = matches!(
-                timeout(PROBE_ANSWER_MILLIS.duration(), connect).await,
+                timeout(PROBE_TIMEOUT_MILLIS.duration(), connect).await,
                 Ok(Ok(_))
             );
-            // A process that stops needs no answer.
+            // The receiver is gone when the process is stopping.
             let _ = probes.send(present).await;
         });
     }
 
-    /// Takes the result of a probe.
+    /// Applies the result of a probe.
     pub(super) fn handle_probe_result(&mut self, present: bool) {
         let now = self.clock.now();
-        // What came while the probe was under way is newer.
+        // Packets that arrived during the probe are newer than its result.
         let heard = self
             .flows
             .silence(now)
-            .is_some_and(|silence| silence < PROBE_ANSWER_MILLIS);
+            .is_some_and(|silence| silence < PROBE_TIMEOUT_MILLIS);
         log_event!(info, FleetEvent::TargetProbed, target = %self.settings.target, present, heard);
         if present || !heard {
             self.tracker.note_presence(present, now);
@@ -77,7 +78,7 @@
         self.announce_change(now);
     }
 
-    /// Announces the target if what balancers should know has changed.
+    /// Announces the target if its standing or incarnation has changed.
     pub(super) fn announce_change(&mut self, now: ClockMillis) {
         let standing = self.refresh_standing(now);
         if self.announced != Some((standing, self.tracker.incarnation())) {
@@ -86,20 +87,20 @@
         self.admit_waiting(now);
     }
 
-    /// Announces the target to the control group.
+    /// Announces the target to the control group, and drops idle flows.
     pub(super) fn announce(&mut self, now: ClockMillis) {
         let standing = self.refresh_standing(now);
-        let news = Some((standing, self.tracker.incarnation()));
-        if self.announced != news {
-            self.announced = news;
+        let announced = Some((standing, self.tracker.incarnation()));
+        if self.announced != announced {
+            self.announced = announced;
             self.repeats_left = CHANGE_REPEATS;
             log_event!(info, FleetEvent::TargetChanged, agent = %self.settings.fleet.address, service = %self.service, ?standing);
         }
         let pause = if self.repeats_left > 0 {
             self.repeats_left -= 1;
-            REPEAT_MILLIS
+            REPEAT_INTERVAL_MILLIS
         } else if self.group.members().is_empty() {
-            REPEAT_MILLIS
+            REPEAT_INTERVAL_MILLIS
         } else {
             ANNOUNCE_MILLIS
         };
@@ -125,13 +126,13 @@
         publish_gauge("cyclamen_side_suspect", self.flows.is_suspect().into());
     }
 
-    /// Returns whom to announce to: the control group, and the seeds as well
-    /// while it is not heard.
+    /// Returns the addresses to announce to: the control group, and the seeds as
+    /// well while the group is unknown or silent.
     pub(super) fn contacts(&mut self, now: ClockMillis) -> Vec<Ipv4Addr> {
         let members = self.group.members();
         let lost = now.since(self.group_heard_at) >= GROUP_LOST_MILLIS;
         if lost {
-            self.reread_settings();
+            self.reread_seeds();
         }
         if members.is_empty() || lost {
             return self.group.contacts();
@@ -139,8 +140,8 @@
         members
     }
 
-    /// Reads the seeds again.
-    pub(super) fn reread_settings(&mut self) {
+    /// Rereads the seeds from the settings.
+    pub(super) fn reread_seeds(&mut self) {
         if let Some(seeds) = self.settings_source.seeds()
             && self.group.set_seeds(seeds.clone())
         {
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Takes a call of the target; it is answered once the agent acts on it.
+    /// Handles a call of the target; it is answered once the agent has applied it.
     pub(super) fn handle_command(&mut self, command: SideCommand) {
         let now = self.clock.now();
         let (verdict, answer) = match command {
@@ -170,11 +171,11 @@
             log_event!(info, FleetEvent::NoticeIgnored, ?verdict);
         }
         self.announce_change(now);
-        // A caller that went away repeats itself.
+        // A target that has disconnected calls again.
         let _ = answer.send(verdict);
     }
 
-    /// Notes that the target answers.
+    /// Clears the suspicion of a target that has announced itself.
     pub(super) fn note_target_heard(&mut self, now: ClockMillis) {
         if self.flows.hear_target(now) {
             log_event!(info, FleetEvent::TargetHeard, target = %self.settings.target);
--- a/src/fleet/target_tracker.rs
+++ b/src/fleet/target_tracker.rs
@@ -11,20 +11,20 @@
 /// The announcements that a target may miss before it counts as silent.
 const MISSED_ANNOUNCEMENTS: u64 = 3;
 
-/// How long a target may run before its first announcement arrives: the second
-/// that it waits for an acknowledgement.
+/// How long a target may run before its first announcement arrives: it waits a
+/// second for an acknowledgement before it sends another.
 const FIRST_NOTICE_DELAY_MILLIS: SpanMillis = SpanMillis::new(1_000);
 
-/// What became of an announcement.
+/// Whether an announcement was applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum NoticeVerdict {
-    /// It is the newest word of the target.
+    /// It was the newest one and is in force.
     Taken,
-    /// It is older than what is known.
+    /// It was outdated and changed nothing.
     Late,
 }
 
-/// What an agent believes of its target, from what the target announces.
+/// The state of a target as its agent knows it from announcements and probes.
 #[derive(Debug)]
 pub(crate) struct TargetTracker {
     heartbeat: SpanMillis,
@@ -38,7 +38,7 @@
 }
 
 impl TargetTracker {
-    /// Creates the belief of an agent that has just started; the target
+    /// Creates the tracker of an agent that has just started; the target
     /// announces itself every `heartbeat`.
     pub(crate) fn new(heartbeat: SpanMillis, now: ClockMillis) -> Self {
         Self {
@@ -52,14 +52,14 @@
         }
     }
 
-    /// Takes an announcement; one of an earlier start, or one that was overtaken,
-    /// changes nothing.
+    /// Applies an announcement; one of an earlier incarnation, or with an old
+    /// sequence number, changes nothing.
     pub(crate) fn apply_notice(&mut self, notice: TargetNotice, now: ClockMillis) -> NoticeVerdict {
         if let Some(latest_notice) = &self.latest_notice {
-            let same =
+            let same_incarnation =
                 latest_notice.id == notice.id && latest_notice.started_at == notice.started_at;
             let late = notice.started_at < latest_notice.started_at
-                || (same && (self.ended || notice.sequence <= latest_notice.sequence));
+                || (same_incarnation && (self.ended || notice.sequence <= latest_notice.sequence));
             if late {
                 return NoticeVerdict::Late;
             }
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Returns which start of the target was heard last.
+    /// Returns the incarnation of the target that announced itself last.
     pub(crate) fn incarnation(&self) -> Option<IncarnationId> {
         self.latest_notice.as_ref().map(|notice| {
             let started_at = notice.started_at;
@@ -95,7 +95,7 @@
         })
     }
 
-    /// Returns how many requests the target works on at a time, if it says so.
+    /// Returns how many requests the target handles at a time, if it reports that.
     pub(crate) fn slots(&self) -> Option<u32> {
         self.latest_notice.as_ref().and_then(|notice| notice.slots)
     }
@@ -109,32 +109,33 @@
     }
 
     /// Returns whether the target has been silent for so long that it should be
-    /// looked after; `packet_silence` is how long it has sent no packet, `None` if it
-    /// never did.
+    /// probed; `packet_silence` is the time since its last packet, `None` if it
+    /// never sent one.
     pub(crate) fn is_silent(&self, packet_silence: Option<SpanMillis>, now: ClockMillis) -> bool {
         now.since(self.heard_at) >= self.max_silence
             && packet_silence.is_none_or(|packet_silence| packet_silence >= self.max_silence)
     }
 
-    /// Returns the time before which every flow is of a start that is over.
+    /// Returns the time before which every flow belongs to an ended incarnation.
     ///
-    /// A newer start may have run unheard: one that has announced itself for as
-    /// long as that takes, one that has not for the time until it does.
+    /// The current incarnation may have run before its announcement arrived: for a
+    /// heartbeat per announcement that it counts, plus the delay of its first one.
+    /// If the last one known is over, the next may have run for that delay alone.
     pub(crate) fn stale_flows_before(&self, now: ClockMillis) -> ClockMillis {
-        let over = self.ended || self.absent;
-        let announced = match &self.latest_notice {
-            Some(notice) if !over => self.heartbeat.times(notice.sequence),
+        let is_over = self.ended || self.absent;
+        let announced_for = match &self.latest_notice {
+            Some(notice) if !is_over => self.heartbeat.times(notice.sequence),
             _ => SpanMillis::ZERO,
         };
-        let unheard = SpanMillis::new(
-            announced
+        let longest_run = SpanMillis::new(
+            announced_for
                 .millis()
                 .saturating_add(FIRST_NOTICE_DELAY_MILLIS.millis()),
         );
-        now.before(unheard)
+        now.before(longest_run)
     }
 
-    /// Returns whether the target takes new flows.
+    /// Returns whether the target accepts new flows and still holds its flows.
     pub(crate) fn target(&self) -> AgentTarget {
         if self.ended {
             return AgentTarget::Ended;
@@ -151,8 +152,8 @@
         }
     }
 
-    /// Returns what balancers should know of a target in this state; `suspect`
-    /// tells whether it leaves openings unanswered.
+    /// Returns the standing to announce for a target in this state; `suspect`
+    /// tells whether it is silent or leaves openings unanswered.
     pub(crate) fn standing(
         &self,
         target: AgentTarget,
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what an agent believes of its target.
+//! Tests of the target tracker and the restart notifier.
 
 use std::net::Ipv4Addr;
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_draining_target_takes_nothing_new_from_its_acknowledgement_on() {
+fn a_draining_target_is_leaving_once_its_announcement_is_acknowledged() {
     let mut tracker = tracker();
     tracker.apply_notice(notice("i-1", 50, 8, TargetState::Draining), START);
     assert_eq!(tracker.target(), AgentTarget::Leaving);
@@ -49,20 +49,20 @@
 }
 
 #[test]
-fn a_new_start_under_the_same_name_counts_from_the_beginning() {
+fn a_restart_under_the_same_id_is_a_new_incarnation() {
     let mut tracker = tracker();
     let before = tracker.incarnation();
     let verdict = tracker.apply_notice(notice("i-1", 60, 1, TargetState::Ready), START);
     assert_eq!(verdict, NoticeVerdict::Taken);
     assert_ne!(tracker.incarnation(), before);
-    // The word of the earlier start, held up on its way.
+    // A delayed announcement of the earlier incarnation.
     let late = tracker.apply_notice(notice("i-1", 50, 99, TargetState::Draining), START);
     assert_eq!(late, NoticeVerdict::Late);
     assert_eq!(tracker.target(), AgentTarget::Serving);
 }
 
 #[test]
-fn an_ended_target_stays_ended_until_another_start() {
+fn an_ended_target_stays_ended_until_the_next_incarnation() {
     let mut tracker = tracker();
     assert_eq!(tracker.note_ended("i-0"), NoticeVerdict::Late);
     assert_eq!(tracker.note_ended("i-1"), NoticeVerdict::Taken);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_target_is_looked_after_only_when_it_neither_announces_itself_nor_sends() {
+fn a_target_is_silent_only_without_announcements_and_packets() {
     let tracker = tracker();
     assert!(!tracker.is_silent(None, after(2)));
     assert!(tracker.is_silent(None, after(3)));
@@ -93,14 +93,14 @@
 }
 
 #[test]
-fn balancers_avoid_a_target_that_leaves_openings_unanswered() {
+fn a_target_that_leaves_openings_unanswered_is_announced_as_silent() {
     let tracker = tracker();
     let standing = tracker.standing(AgentTarget::Serving, true, START);
     assert_eq!(standing, TargetStanding::Silent);
 }
 
 #[test]
-fn a_target_that_has_just_started_is_told_to_be_slow_for_as_long_as_it_says() {
+fn a_restarted_target_is_warming_for_as_long_as_it_reports() {
     let mut tracker = tracker();
     let mut cold = notice("i-2", 60, 1, TargetState::Ready);
     cold.warm_up_left = SpanMillis::new(2_000);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_start_that_announced_itself_often_may_hold_older_flows() {
+fn an_incarnation_with_more_announcements_may_hold_older_flows() {
     let now = ClockMillis::new(100_000);
     let mut tracker = TargetTracker::new(HEARTBEAT, START);
     tracker.apply_notice(notice("i-1", 50, 1, TargetState::Ready), now);
@@ -122,16 +122,16 @@
     assert_eq!(once, SpanMillis::new(1_000 + HEARTBEAT.millis()));
     tracker.apply_notice(notice("i-1", 50, 9, TargetState::Ready), now);
     assert!(now.since(tracker.stale_flows_before(now)) >= HEARTBEAT.times(9));
-    // A target that is gone holds nothing, however long it had run.
+    // A target that is gone holds no flows, however long it had run.
     tracker.note_presence(false, now);
     let gone = now.since(tracker.stale_flows_before(now));
     assert_eq!(gone, SpanMillis::new(1_000));
 }
 
-/// After a power cut the seeds may be the last to start: a replica that is up
-/// earlier tells those that it knew.
+/// After a power cut the seeds may be the last to start: a replica that starts
+/// earlier notifies the processes that it knew.
 #[test]
-fn a_replica_that_starts_tells_the_processes_it_knew_until_they_are_heard() {
+fn a_restarted_replica_notifies_known_processes_until_they_contact_it() {
     let process = |number| Ipv4Addr::new(10, 0, 0, number);
     let known = KnownProcesses {
         agents: [process(1), process(2)].into(),
@@ -141,9 +141,9 @@
     assert_eq!(notifier.recipients(START).count(), 0);
     notifier.start(&known, START);
     notifier.note_heard(process(2));
-    let told: Vec<Ipv4Addr> = notifier.recipients(START).collect();
-    assert_eq!(told, [process(1), process(3)]);
-    // A process that has gone for good is not told for ever.
+    let notified: Vec<Ipv4Addr> = notifier.recipients(START).collect();
+    assert_eq!(notified, [process(1), process(3)]);
+    // A process that never returns is not notified for ever.
     assert_eq!(
         notifier
             .recipients(START.after(SpanMillis::new(1_000)))
--- a/src/fleet/watch_client.rs
+++ b/src/fleet/watch_client.rs
@@ -18,32 +18,34 @@
 };
 use crate::{clock::SpanMillis, directory::DirectoryPlace};
 
-/// How long connecting may take; a VM without power does not answer at all.
+/// How long connecting may take; a VM without power never answers.
 const CONNECT_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(250);
-/// How much later than to the one before it each replica is connected to.
+/// The delay between the connection attempts to successive replicas.
 const CONNECT_STAGGER_MILLIS: SpanMillis = SpanMillis::new(20);
-/// How long an answer may take beyond the time that the server holds it.
+/// How long a reply may take, which the server holds for `LONG_POLL_MILLIS`.
 const REPLY_TIMEOUT_MILLIS: SpanMillis = LONG_POLL_MILLIS.times(2);
-/// The pause before another replica is tried.
+/// The pause before the replicas are tried again, and between polls while the
+/// directory has not settled.
 const RETRY_PAUSE_MILLIS: SpanMillis = SpanMillis::new(50);
-/// The shortest time between two polls, while reply come in quick succession.
+/// The pause between polls; it bounds their rate while changes come in quick
+/// succession.
 const MIN_POLL_SPACING_MILLIS: SpanMillis = SpanMillis::new(20);
 
-/// An update of the watch for the balancer.
+/// An update of the watch client for the balancer.
 #[derive(Debug)]
 pub(super) enum WatchUpdate {
-    /// A replica answered; the place says how far its directory is followed.
+    /// A replica answered a poll.
     Reply(Box<WatchReply>),
-    /// The replica that was followed is lost.
+    /// The watched replica failed.
     Lost {
         /// The replica.
         replica: Ipv4Addr,
-        /// What went wrong.
+        /// The kind of error.
         cause: io::ErrorKind,
     },
 }
 
-/// Follows the routes and the directory of one replica at a time.
+/// Watches the routes and the directory of one replica at a time.
 #[derive(Debug)]
 pub(super) struct WatchClient {
     own: Ipv4Addr,
@@ -55,7 +57,7 @@
 }
 
 impl WatchClient {
-    /// Creates a client that reports to `updates`.
+    /// Creates a client that sends its updates to `updates`.
     pub(super) fn new(
         own: Ipv4Addr,
         port: u16,
@@ -72,12 +74,12 @@
         }
     }
 
-    /// Follows one replica after the other until nobody listens.
+    /// Watches one replica after the other until `updates` is closed.
     pub(super) async fn run(mut self) {
         while !self.updates.is_closed() {
             let mut untried = self.candidates();
             while let Some((replica, stream)) = self.connect_any(&untried).await {
-                // The cause matters only to the next attempt, which is made at once.
+                // After any error the next replica is tried at once.
                 if self.follow(replica, stream).await.is_ok() {
                     return;
                 }
@@ -87,16 +89,17 @@
         }
     }
 
-    /// Returns whom to follow: this VM's replica first, then any other.
+    /// Returns the replicas to try: this VM's first, then the others in random
+    /// order.
     fn candidates(&self) -> Vec<Ipv4Addr> {
-        let mut members = self.group.contacts();
-        members.shuffle(&mut rand::rng());
-        members.sort_by_key(|member| *member != self.own);
-        members
+        let mut contacts = self.group.contacts();
+        contacts.shuffle(&mut rand::rng());
+        contacts.sort_by_key(|contact| *contact != self.own);
+        contacts
     }
 
-    /// Connects to the first of the replicas that answers; returns `None` if none
-    /// does, or other replicas were found meanwhile.
+    /// Connects to the first replica that answers; `None` if none does, or if the
+    /// members of the group changed meanwhile.
     async fn connect_any(&self, replicas: &[Ipv4Addr]) -> Option<(Ipv4Addr, TcpStream)> {
         let mut attempts = JoinSet::new();
         let mut delay = SpanMillis::ZERO;
@@ -117,21 +120,21 @@
                         return Some(connected);
                     }
                 }
-                // Others are worth trying now.
-                () = self.group.changed() => return None,
+                // The new members are tried instead.
+                () = self.group.members_changed() => return None,
             }
         }
     }
 
-    /// Follows a replica until it fails or no longer hears a leader; succeeds
-    /// when nobody listens any more.
+    /// Watches a replica until it fails or is no longer caught up; succeeds when
+    /// `updates` is closed.
     async fn follow(&mut self, replica: Ipv4Addr, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         loop {
             let reply = match self.poll(&mut stream).await {
                 Ok(reply) => reply,
                 Err(error) => {
-                    // A full queue will be told by the next loss.
+                    // If the queue is full, the next loss is reported instead.
                     let cause = error.kind();
                     let _ = self.updates.try_send(WatchUpdate::Lost { replica, cause });
                     return Err(error);
--- a/src/fleet/watch_frame.rs
+++ b/src/fleet/watch_frame.rs
@@ -12,10 +12,10 @@
     listener::ListenerManifest,
 };
 
-/// The largest frame in bytes: a manifest of 100,000 routes.
+/// The largest frame in bytes; a manifest of 100,000 routes fits.
 const MAX_FRAME_BYTES: usize = 8 << 20;
 
-/// What a watcher has; asks for what is newer.
+/// A watcher's request for everything newer than what it has.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct WatchPoll {
     /// The watcher's address.
@@ -26,22 +26,23 @@
     pub(super) position: DirectoryPlace,
 }
 
-/// What a watcher lacks.
+/// Everything newer than what the watcher has.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct WatchReply {
-    /// Newer routes.
+    /// The routes, if newer.
     pub(super) routes: Option<ListenerManifest>,
-    /// Changes of the directory.
+    /// The changes of the directory, if any.
     pub(super) targets: Option<DirectoryNews>,
     /// The members of the control group.
     pub(super) members: Vec<Ipv4Addr>,
     /// The leader, if one is known.
     pub(super) leader: Option<Ipv4Addr>,
-    /// Whether the replica hears a leader, so that its routes are current.
+    /// Whether the replica hears a leader and has an entry of its term committed,
+    /// so that its routes are current.
     pub(super) caught_up: bool,
 }
 
-/// Writes a value with its length in front.
+/// Writes a length-prefixed value; fails after `limit`.
 pub(super) async fn write_frame<T: Serialize>(
     stream: &mut TcpStream,
     value: &T,
@@ -55,7 +56,7 @@
     timeout(limit, stream.write_all(&bytes)).await?
 }
 
-/// Reads a value with its length in front.
+/// Reads a length-prefixed value; fails after `limit`.
 pub(super) async fn read_frame<T: DeserializeOwned>(
     stream: &mut TcpStream,
     limit: Duration,
--- a/src/fleet/watch_server.rs
+++ b/src/fleet/watch_server.rs
@@ -22,11 +22,11 @@
     directory::TargetDirectory,
 };
 
-/// How long a poll waits for news before it is answered without any.
+/// How long a poll waits for changes before it is answered without any.
 pub(super) const LONG_POLL_MILLIS: SpanMillis = SpanMillis::new(400);
-/// The time in which a frame must have been sent or received.
+/// How long sending or receiving a frame may take.
 const FRAME_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(2_000);
-/// The pause after the system refused to hand over a connection.
+/// The pause after a failed accept.
 const ACCEPT_PAUSE_MILLIS: SpanMillis = SpanMillis::new(100);
 /// The most watchers of one replica.
 const MAX_WATCHERS: usize = 1_024;
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct SharedDirectory {
     directory: Arc<Mutex<TargetDirectory>>,
-    /// The balancers that follow this replica.
+    /// The balancers that watch this replica.
     watchers: Arc<Mutex<BTreeSet<Ipv4Addr>>>,
     changes: watch::Sender<()>,
 }
@@ -50,14 +50,15 @@
         }
     }
 
-    /// Changes the directory; `change` tells whether watchers need to know.
+    /// Applies `change` to the directory; it returns whether watchers are
+    /// notified.
     pub(super) fn update(&self, change: impl FnOnce(&mut TargetDirectory) -> bool) {
         if self.with_directory(change) {
             self.changes.send_replace(());
         }
     }
 
-    /// Returns the processes that run, once all agents have been heard.
+    /// Returns the running processes; `None` until the directory has settled.
     pub(super) fn settled_processes(&self, now: ClockMillis) -> Option<KnownProcesses> {
         let agents = self
             .with_directory(|directory| directory.is_settled(now).then(|| directory.running()))?;
@@ -79,7 +80,7 @@
     }
 }
 
-/// Answers watchers with routes and targets.
+/// Serves routes and targets to watchers.
 #[derive(Debug, Clone)]
 pub(super) struct WatchServer {
     replica: LocalReplica,
@@ -101,11 +102,11 @@
         }
     }
 
-    /// Starts to accept watchers; it must be called within the runtime.
+    /// Starts accepting watchers; it must be called within the runtime.
     ///
     /// # Errors
     ///
-    /// Fails when the address can't be had.
+    /// Fails when the address can't be bound.
     pub(super) async fn start(self, address: SocketAddrV4) -> Result<(), FleetError> {
         let listener = TcpListener::bind(address)
             .await
@@ -127,7 +128,7 @@
                 let server = self.clone();
                 tokio::spawn(async move {
                     let mut watcher = None;
-                    // A watcher that went away connects again where it likes.
+                    // A watcher that lost its connection reconnects to any replica.
                     let _ = server.serve(stream, &mut watcher).await;
                     if let Some(watcher) = watcher {
                         server.directory.watchers().remove(&watcher);
@@ -139,7 +140,7 @@
         Ok(())
     }
 
-    /// Answers one watcher until it goes away; `watcher` tells who it is.
+    /// Serves one watcher until it disconnects; sets `watcher` to its address.
     async fn serve(&self, mut stream: TcpStream, watcher: &mut Option<Ipv4Addr>) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let mut routes = self.replica.store().subscribe();
@@ -176,10 +177,10 @@
 
     fn reply(&self, poll: &WatchPoll) -> WatchReply {
         let now = self.clock.now();
-        let held = self.replica.store().current();
-        let routes = held
-            .filter(|held| held.manifest.version > poll.routes_version)
-            .map(|held| held.manifest.clone());
+        let stored = self.replica.store().current();
+        let routes = stored
+            .filter(|stored| stored.manifest.version > poll.routes_version)
+            .map(|stored| stored.manifest.clone());
         let targets = self.directory.with_directory(|directory| {
             (directory.place() != poll.position).then(|| directory.news(poll.position, now))
         });
--- a/src/watch/mod.rs
+++ b/src/watch/mod.rs
@@ -1,4 +1,4 @@
-//! Keeps a process's route table up to date from the feed of control.
+//! Keeps a process's route table up to date from control's feed.
 
 mod route_watch;
 mod watch_event;
--- a/src/watch/route_watch.rs
+++ b/src/watch/route_watch.rs
@@ -18,12 +18,12 @@
     route::{RouteError, RouteTable},
 };
 
-/// How long control may hold an answer back while nothing changes.
+/// How long control may hold a reply while nothing changes.
 const WATCH_WAIT_MILLIS: SpanMillis = SpanMillis::new(2_000);
 /// The pause after a failed call.
 const RETRY_MILLIS: SpanMillis = SpanMillis::new(200);
 
-/// The routes of a process and whether control still confirms them.
+/// The route table of a process and whether control confirms it.
 #[derive(Debug)]
 pub(crate) struct WatchState {
     table: Arc<ArcSwap<RouteTable>>,
@@ -32,7 +32,7 @@
 }
 
 impl WatchState {
-    /// Creates the state before the first routes.
+    /// Creates the state with an empty route table.
     pub(crate) fn new() -> Arc<Self> {
         Arc::new(Self {
             table: Arc::new(ArcSwap::from_pointee(RouteTable::new())),
@@ -41,7 +41,7 @@
         })
     }
 
-    /// Returns the routes for the packet path.
+    /// Returns the route table, for the packet path.
     pub(crate) fn table(&self) -> &Arc<ArcSwap<RouteTable>> {
         &self.table
     }
@@ -51,25 +51,25 @@
         self.connected.load(Ordering::Relaxed)
     }
 
-    /// Returns a receiver that sees every change of the routes.
+    /// Returns a receiver that is notified of changes of the routes.
     pub(crate) fn subscribe(&self) -> watch::Receiver<FeedRevision> {
         self.changed.subscribe()
     }
 
-    /// Puts routes in force.
+    /// Replaces the route table and notifies subscribers.
     fn store(&self, table: RouteTable) {
         let revision = table.revision();
         self.table.store(Arc::new(table));
         self.changed.send_replace(revision);
     }
 
-    /// Notes whether control answers, and returns whether that changed.
+    /// Records whether control answers; returns whether that changed.
     fn set_connected(&self, connected: bool) -> bool {
         self.connected.swap(connected, Ordering::Relaxed) != connected
     }
 }
 
-/// Follows the feed of control for one process.
+/// Follows control's feed for one process.
 #[derive(Debug)]
 pub(crate) struct RouteWatch {
     client: ControlClient,
@@ -99,7 +99,7 @@
 
     /// Follows the feed until the task is dropped.
     ///
-    /// While control is away the routes in force stay.
+    /// While control is unreachable, the routes in force stay.
     pub(crate) async fn run(self) {
         loop {
             let request = WatchRequest {
@@ -114,7 +114,7 @@
                     if self.state.set_connected(true) {
                         log_event!(info, WatchEvent::FeedFound);
                     }
-                    self.take_reply(reply);
+                    self.apply_reply(reply);
                 }
                 Err(error) => {
                     if self.state.set_connected(false) {
@@ -126,7 +126,7 @@
         }
     }
 
-    fn take_reply(&self, reply: FeedReply) {
+    fn apply_reply(&self, reply: FeedReply) {
         let mut table = RouteTable::clone(&self.state.table.load());
         let was_empty = table.revision() == FeedRevision::EMPTY;
         if let Err(error) = update_table(&mut table, reply) {
@@ -141,7 +141,7 @@
     }
 }
 
-/// Brings `table` up to date with what control answered.
+/// Applies control's reply to `table`.
 fn update_table(table: &mut RouteTable, reply: FeedReply) -> Result<(), RouteError> {
     match reply {
         FeedReply::Unchanged { revision } => {
