--- a/src/fleet/fleet_event.rs
+++ b/src/fleet/fleet_event.rs
@@ -34,7 +34,7 @@
         TargetHeard = 6042 => "target answers again",
         FlowsGone = 6037 => "flows reset: their target is gone",
         TargetProbed = 6038 => "target probed",
-        NoticeTaken = 6036 => "announcement of the target accepted",
+        NoticeTaken = 6036 => "announcement of the target received",
         NoticeIgnored = 6039 => "outdated announcement of the target ignored",
         FlowWaits = 6043 => "opening waits for a free slot of the target",
         WaitEnded = 6044 => "wait of an opening ended",
--- a/src/fleet/target_tracker.rs
+++ b/src/fleet/target_tracker.rs
@@ -11,8 +11,8 @@
 /// The announcements that a target may miss before it counts as silent.
 const MISSED_ANNOUNCEMENTS: u64 = 3;
 
-/// How long a target may run before its first announcement arrives: it waits a
-/// second for an acknowledgement before it sends another.
+/// How long a target may run before its first announcement arrives: the
+/// second that it waits for an acknowledgement.
 const FIRST_NOTICE_DELAY_MILLIS: SpanMillis = SpanMillis::new(1_000);
 
 /// Whether an announcement was applied.
--- a/src/fleet/watch_client.rs
+++ b/src/fleet/watch_client.rs
@@ -22,7 +22,7 @@
 const CONNECT_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(250);
 /// The delay between the connection attempts to successive replicas.
 const CONNECT_STAGGER_MILLIS: SpanMillis = SpanMillis::new(20);
-/// How long a reply may take, which the server holds for `LONG_POLL_MILLIS`.
+/// How long a reply may take, which the server may hold for `LONG_POLL_MILLIS`.
 const REPLY_TIMEOUT_MILLIS: SpanMillis = LONG_POLL_MILLIS.times(2);
 /// The pause before the replicas are tried again, and between polls while the
 /// directory has not settled.
--- a/src/fleet/watch_server.rs
+++ b/src/fleet/watch_server.rs
@@ -70,8 +70,8 @@
         self.watchers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn with_directory<T>(&self, with_directory: impl FnOnce(&mut TargetDirectory) -> T) -> T {
-        with_directory(
+    fn with_directory<T>(&self, access: impl FnOnce(&mut TargetDirectory) -> T) -> T {
+        access(
             &mut self
                 .directory
                 .lock()
