--- a/src/fleet/local_replica.rs
+++ b/src/fleet/local_replica.rs
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Returns whether this replica hears a leader and misses nothing that earlier
-    /// leaders committed.
+    /// Returns whether this replica hears a leader and misses nothing accepted by
+    /// earlier leaders.
     pub(super) fn is_caught_up(&self) -> bool {
         self.handle().is_some_and(|handle| handle.view().caught_up)
     }
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -141,8 +141,8 @@
     assert_eq!(notifier.recipients(START).count(), 0);
     notifier.start(&known, START);
     notifier.note_heard(process(2));
-    let notified: Vec<Ipv4Addr> = notifier.recipients(START).collect();
-    assert_eq!(notified, [process(1), process(3)]);
+    let recipients: Vec<Ipv4Addr> = notifier.recipients(START).collect();
+    assert_eq!(recipients, [process(1), process(3)]);
     // A process that never returns is not notified for ever.
     assert_eq!(
         notifier
--- a/src/fleet/watch_client.rs
+++ b/src/fleet/watch_client.rs
@@ -48,7 +48,7 @@
 /// Watches the routes and the directory of one replica at a time.
 #[derive(Debug)]
 pub(super) struct WatchClient {
-    own: Ipv4Addr,
+    own_address: Ipv4Addr,
     port: u16,
     group: GroupView,
     updates: mpsc::Sender<WatchUpdate>,
@@ -59,13 +59,13 @@
 impl WatchClient {
     /// Creates a client that sends its updates to `updates`.
     pub(super) fn new(
-        own: Ipv4Addr,
+        own_address: Ipv4Addr,
         port: u16,
         group: GroupView,
         updates: mpsc::Sender<WatchUpdate>,
     ) -> Self {
         Self {
-            own,
+            own_address,
             port,
             group,
             updates,
@@ -94,7 +94,7 @@
     fn candidates(&self) -> Vec<Ipv4Addr> {
         let mut contacts = self.group.contacts();
         contacts.shuffle(&mut rand::rng());
-        contacts.sort_by_key(|contact| *contact != self.own);
+        contacts.sort_by_key(|contact| *contact != self.own_address);
         contacts
     }
 
@@ -174,7 +174,7 @@
 
     async fn poll(&self, stream: &mut TcpStream) -> io::Result<WatchReply> {
         let poll = WatchPoll {
-            watcher: self.own,
+            watcher: self.own_address,
             routes_version: self.routes_version,
             position: self.position,
         };
