--- a/src/fleet/watch_frame.rs
+++ b/src/fleet/watch_frame.rs
@@ -21,8 +21,10 @@
     /// The watcher's address.
     pub(super) watcher: Ipv4Addr,
     /// The version of the routes in force at the watcher.
+    #[serde(rename = "version")]
     pub(super) routes_version: u64,
     /// How far the watcher has followed this replica's directory.
+    #[serde(rename = "place")]
     pub(super) position: DirectoryPlace,
 }
 
@@ -39,6 +41,7 @@
     pub(super) leader: Option<Ipv4Addr>,
     /// Whether the replica hears a leader and has an entry of its term committed,
     /// so that its routes are current.
+    #[serde(rename = "current")]
     pub(super) caught_up: bool,
 }
 
