--- a/src/control/feed/feed_signals.rs
+++ b/src/control/feed/feed_signals.rs
@@ -41,7 +41,7 @@
         self.all.send_replace(revision);
         let services: BTreeSet<ServiceNumber> = changes
             .iter()
-            .flat_map(|change| std::iter::once(change.service).chain(change.left))
+            .flat_map(|change| std::iter::once(change.service).chain(change.previous_service))
             .collect();
         for service in services {
             self.announce_service(revision, service);
--- a/src/control/feed/replica_state.rs
+++ b/src/control/feed/replica_state.rs
@@ -4,7 +4,7 @@
 use crate::{
     control::{
         api::{CallRefusal, FeedReply, WatchScope},
-        state::{ControlState, StateError, StateStep},
+        state::{ControlState, StateError, StateTransition},
     },
     key::FeedRevision,
     route::{RouteDelta, RouteSnapshot},
@@ -54,14 +54,14 @@
     }
 
     /// Executes one committed command and remembers what it changed.
-    pub(crate) fn apply(&mut self, command: &[u8]) -> StateStep {
-        let step = self.state.apply(command);
-        if step.effective {
+    pub(crate) fn apply(&mut self, command: &[u8]) -> StateTransition {
+        let transition = self.state.apply(command);
+        if transition.effective {
             let version = self.state.manifest().version();
-            self.history.push(step.changes.clone(), version);
+            self.history.push(transition.changes.clone(), version);
             self.cache.clear();
         }
-        step
+        transition
     }
 
     /// Returns the agreed state as bytes.
--- a/src/control/feed/tests/watchers.rs
+++ b/src/control/feed/tests/watchers.rs
@@ -61,7 +61,7 @@
     }
     all.borrow_and_update();
     let change = FeedChange::new(RouteChange::ServiceRemoved(services[0]), services[0])
-        .with_left(Some(services[1]));
+        .with_previous_service(Some(services[1]));
     signals.announce(FeedRevision::new(1), &[change]);
     let woken = scoped.map(|receiver| receiver.has_changed().expect("a sender"));
     assert_eq!(woken, [true, true, false]);
--- a/src/control/state/accepted_versions.rs
+++ b/src/control/state/accepted_versions.rs
@@ -4,21 +4,21 @@
 
 use crate::{key::FeedRevision, manifest::ManifestDigest};
 
-/// The accepted versions that a resent manifest is looked up in.
-const MOST_VERSIONS: usize = 4_096;
+/// Accepted versions kept for recognising a resent manifest.
+const MAX_ACCEPTED_VERSIONS: usize = 4_096;
 
 /// One accepted version of the manifest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct AcceptedVersion {
-    /// The version's number.
+    /// The manifest's version number.
     pub(crate) version: u64,
-    /// The digest of its content.
+    /// The digest of the manifest's content.
     pub(crate) digest: ManifestDigest,
-    /// The revision at which it was accepted.
+    /// The feed revision at which it was accepted.
     pub(crate) revision: FeedRevision,
 }
 
-/// The latest accepted versions, the one in force last.
+/// The most recently accepted versions in ascending order; the last one is in force.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct AcceptedVersions {
     versions: VecDeque<AcceptedVersion>,
@@ -30,7 +30,7 @@
         self.versions.back()
     }
 
-    /// Returns the acceptance of exactly this content, in force or earlier.
+    /// Finds an accepted version with this number and digest, in force or earlier.
     pub(crate) fn find(&self, version: u64, digest: ManifestDigest) -> Option<&AcceptedVersion> {
         let index = self
             .versions
@@ -41,9 +41,9 @@
             .filter(|accepted| accepted.digest == digest)
     }
 
-    /// Puts a version in force; its number is larger than every earlier one.
+    /// Puts a version in force. Its number must be larger than every earlier one.
     pub(crate) fn accept(&mut self, accepted: AcceptedVersion) {
-        if self.versions.len() == MOST_VERSIONS {
+        if self.versions.len() == MAX_ACCEPTED_VERSIONS {
             self.versions.pop_front();
         }
         self.versions.push_back(accepted);
--- a/src/control/state/control_command.rs
+++ b/src/control/state/control_command.rs
@@ -7,26 +7,26 @@
     manifest::Manifest,
 };
 
-/// A change that the control group puts in order.
+/// A command of the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum ControlCommand {
     /// Puts a verified manifest in force.
     Apply(Manifest),
     /// Registers a target or changes its registration.
     Announce(AnnounceRequest),
-    /// Takes a target out on its agent's word.
+    /// Removes a target at its agent's request.
     Withdraw(WithdrawRequest),
-    /// Takes out targets whose leases ran out.
+    /// Removes targets whose leases expired.
     Expire(Vec<(TargetKey, IncarnationId)>),
 }
 
 impl ControlCommand {
-    /// Returns the command's bytes for the log.
+    /// Encodes the command for the log.
     pub(crate) fn encode(&self) -> Result<Vec<u8>, StateError> {
         postcard::to_stdvec(self).map_err(StateError::Command)
     }
 
-    /// Reads the bytes of a command; none if they hold no command.
+    /// Decodes a command, or returns `None` if the bytes are not a valid one.
     pub(crate) fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
--- a/src/control/state/control_outcome.rs
+++ b/src/control/state/control_outcome.rs
@@ -6,44 +6,44 @@
     key::{FeedRevision, ServiceNumber},
 };
 
-/// What became of a committed command.
+/// The result of executing a committed command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum ControlOutcome {
-    /// The manifest is accepted.
+    /// The manifest was accepted.
     Applied(ApplyReceipt),
     /// The target is registered.
     Announced {
         /// The number of its service.
         service: ServiceNumber,
-        /// The revision from which the feed shows it.
+        /// The feed includes the registration from this revision on.
         revision: FeedRevision,
     },
-    /// The run is not registered, or no longer.
+    /// The incarnation is not registered, or no longer.
     Withdrawn {
-        /// The revision from which the feed shows that.
+        /// The feed reflects the removal from this revision on.
         revision: FeedRevision,
     },
-    /// Some of the targets were still registered and are gone.
+    /// The targets that were still registered under these incarnations were removed.
     Expired {
-        /// How many they were.
+        /// The number of removed targets.
         targets: usize,
-        /// The revision from which the feed shows that.
+        /// The feed reflects the removal from this revision on.
         revision: FeedRevision,
     },
-    /// The state speaks against the command; nothing changed.
+    /// The command conflicts with the state; nothing changed.
     Refused(CallRefusal),
-    /// The bytes hold no command; nothing changed.
+    /// The bytes are not a valid command; nothing changed.
     Undecodable,
 }
 
 impl ControlOutcome {
-    /// Returns the outcome's bytes for the proposer.
+    /// Encodes the outcome for the proposer.
     pub(crate) fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads the bytes of an outcome.
+    /// Decodes an outcome.
     pub(crate) fn decode(bytes: &[u8]) -> Result<Self, StateError> {
         serde_json::from_slice(bytes).map_err(|error| StateError::Outcome {
             column: error.column(),
--- a/src/control/state/control_state.rs
+++ b/src/control/state/control_state.rs
@@ -2,7 +2,7 @@
 
 use super::{
     ControlCommand, ControlOutcome, FeedChange, ManifestState, RegistrationTable, StateError,
-    StateStep, manifest_state::OfferVerdict, registration_table::AnnounceEffect,
+    StateTransition, manifest_state::ManifestCheck, registration_table::AnnounceEffect,
 };
 use crate::{
     control::api::{AnnounceRequest, ApplyReceipt, CallRefusal, WithdrawRequest},
@@ -11,7 +11,7 @@
     route::RouteChange,
 };
 
-/// The state that every replica builds from the same committed commands.
+/// The replicated state machine; the same commands give the same state on every replica.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct ControlState {
     revision: FeedRevision,
@@ -20,27 +20,27 @@
 }
 
 impl ControlState {
-    /// Creates the state before the first command.
+    /// Creates the initial state.
     pub(crate) fn new() -> Self {
         Self::default()
     }
 
-    /// Reads the state from the bytes of a snapshot.
+    /// Decodes the state from a snapshot.
     pub(crate) fn restore(bytes: &[u8]) -> Result<Self, StateError> {
         postcard::from_bytes(bytes).map_err(StateError::Snapshot)
     }
 
-    /// Returns the state as bytes, the same on every replica.
+    /// Encodes the state as a snapshot; the bytes are identical on every replica.
     pub(crate) fn snapshot(&self) -> Result<Vec<u8>, StateError> {
         postcard::to_stdvec(self).map_err(StateError::Snapshot)
     }
 
-    /// Returns the count of effective commands.
+    /// Returns the number of effective commands so far.
     pub(crate) fn revision(&self) -> FeedRevision {
         self.revision
     }
 
-    /// Returns the manifest in force.
+    /// Returns the state of the manifest.
     pub(crate) fn manifest(&self) -> &ManifestState {
         &self.manifest
     }
@@ -51,25 +51,25 @@
     }
 
     /// Executes one committed command.
-    pub(crate) fn apply(&mut self, bytes: &[u8]) -> StateStep {
+    pub(crate) fn apply(&mut self, bytes: &[u8]) -> StateTransition {
         match ControlCommand::decode(bytes) {
             Some(ControlCommand::Apply(manifest)) => self.apply_manifest(manifest),
             Some(ControlCommand::Announce(request)) => self.announce(request),
             Some(ControlCommand::Withdraw(request)) => self.withdraw(&request),
             Some(ControlCommand::Expire(targets)) => self.expire(&targets),
-            None => StateStep::unchanged(ControlOutcome::Undecodable),
+            None => StateTransition::unchanged(ControlOutcome::Undecodable),
         }
     }
 
-    fn apply_manifest(&mut self, manifest: Manifest) -> StateStep {
-        let digest = match self.manifest.judge(&manifest) {
-            OfferVerdict::Resent(receipt) => {
-                return StateStep::unchanged(ControlOutcome::Applied(receipt));
+    fn apply_manifest(&mut self, manifest: Manifest) -> StateTransition {
+        let digest = match self.manifest.check_offer(&manifest) {
+            ManifestCheck::Resent(receipt) => {
+                return StateTransition::unchanged(ControlOutcome::Applied(receipt));
             }
-            OfferVerdict::Refused(refusal) => return refuse(refusal),
-            OfferVerdict::Fresh(digest) => digest,
+            ManifestCheck::Refused(refusal) => return refuse(refusal),
+            ManifestCheck::New(digest) => digest,
         };
-        if !self.manifest.has_numbers_for(&manifest) {
+        if !self.manifest.has_free_numbers_for(&manifest) {
             return refuse(CallRefusal::NoServiceNumber);
         }
         let version = manifest.version;
@@ -89,10 +89,10 @@
             revision,
             resent: false,
         };
-        StateStep::changed(ControlOutcome::Applied(receipt), changes)
+        StateTransition::changed(ControlOutcome::Applied(receipt), changes)
     }
 
-    fn announce(&mut self, request: AnnounceRequest) -> StateStep {
+    fn announce(&mut self, request: AnnounceRequest) -> StateTransition {
         let number = self.manifest.number(&request.service);
         let in_force = number.filter(|number| self.manifest.service(*number).is_some());
         let Some(service) = in_force else {
@@ -105,32 +105,38 @@
             Err(refusal) => return refuse(refusal),
         };
         match effect {
-            AnnounceEffect::Same => StateStep::unchanged(ControlOutcome::Announced {
+            AnnounceEffect::Unchanged => StateTransition::unchanged(ControlOutcome::Announced {
                 service,
                 revision: self.revision,
             }),
-            AnnounceEffect::Changed { route, left } => {
+            AnnounceEffect::Changed {
+                route,
+                previous_service,
+            } => {
                 let revision = self.advance();
                 let change = FeedChange::new(RouteChange::TargetSet(route), service);
                 let outcome = ControlOutcome::Announced { service, revision };
-                StateStep::changed(outcome, vec![change.with_left(left)])
+                StateTransition::changed(
+                    outcome,
+                    vec![change.with_previous_service(previous_service)],
+                )
             }
         }
     }
 
-    fn withdraw(&mut self, request: &WithdrawRequest) -> StateStep {
+    fn withdraw(&mut self, request: &WithdrawRequest) -> StateTransition {
         let target = request.target;
         let Some(service) = self.registrations.withdraw(target, request.incarnation) else {
-            return StateStep::unchanged(ControlOutcome::Withdrawn {
+            return StateTransition::unchanged(ControlOutcome::Withdrawn {
                 revision: self.revision,
             });
         };
         let revision = self.advance();
         let change = FeedChange::new(RouteChange::TargetRemoved(target), service);
-        StateStep::changed(ControlOutcome::Withdrawn { revision }, vec![change])
+        StateTransition::changed(ControlOutcome::Withdrawn { revision }, vec![change])
     }
 
-    fn expire(&mut self, targets: &[(TargetKey, IncarnationId)]) -> StateStep {
+    fn expire(&mut self, targets: &[(TargetKey, IncarnationId)]) -> StateTransition {
         let mut changes = Vec::new();
         for (target, incarnation) in targets {
             if let Some(service) = self.registrations.remove(*target, *incarnation) {
@@ -139,7 +145,7 @@
             }
         }
         if changes.is_empty() {
-            return StateStep::unchanged(ControlOutcome::Expired {
+            return StateTransition::unchanged(ControlOutcome::Expired {
                 targets: 0,
                 revision: self.revision,
             });
@@ -148,7 +154,7 @@
             targets: changes.len(),
             revision: self.advance(),
         };
-        StateStep::changed(outcome, changes)
+        StateTransition::changed(outcome, changes)
     }
 
     fn advance(&mut self) -> FeedRevision {
@@ -157,6 +163,6 @@
     }
 }
 
-fn refuse(refusal: CallRefusal) -> StateStep {
-    StateStep::unchanged(ControlOutcome::Refused(refusal))
+fn refuse(refusal: CallRefusal) -> StateTransition {
+    StateTransition::unchanged(ControlOutcome::Refused(refusal))
 }
--- a/src/control/state/manifest_state.rs
+++ b/src/control/state/manifest_state.rs
@@ -10,9 +10,9 @@
     route::{RouteChange, ServiceRoute},
 };
 
-/// The manifest in force, and the numbers of all services that ever were.
+/// The manifest in force, and the numbers of all services that ever existed.
 ///
-/// A name keeps its number for good, since connection IDs may still carry it.
+/// A service name keeps its number for good, since connection IDs may still carry it.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct ManifestState {
     versions: AcceptedVersions,
@@ -20,13 +20,13 @@
     services: BTreeMap<ServiceNumber, ServiceSpec>,
 }
 
-/// What the state says to an offered manifest.
-pub(super) enum OfferVerdict {
-    /// The same content was accepted before.
+/// The result of checking an offered manifest against the accepted versions.
+pub(super) enum ManifestCheck {
+    /// The same version with the same content was accepted before.
     Resent(ApplyReceipt),
-    /// It may replace the version in force.
-    Fresh(ManifestDigest),
-    /// It may not.
+    /// It may replace the version in force; carries the digest of the offer.
+    New(ManifestDigest),
+    /// It conflicts with the version in force.
     Refused(CallRefusal),
 }
 
@@ -41,28 +41,28 @@
         self.in_force().map_or(0, |accepted| accepted.version)
     }
 
-    /// Returns the number that `name` goes by, also if the service is gone.
+    /// Returns the number of the service `name`, even if the service was removed.
     pub(crate) fn number(&self, name: &str) -> Option<ServiceNumber> {
         self.numbers.get(name).copied()
     }
 
-    /// Returns the service with `number`, if it is in force.
+    /// Returns the specification of a service in force.
     pub(crate) fn service(&self, number: ServiceNumber) -> Option<&ServiceSpec> {
         self.services.get(&number)
     }
 
-    /// Returns the service with `number` as the feed shows it.
+    /// Returns a service in force in the form that the feed sends.
     pub(crate) fn route(&self, number: ServiceNumber) -> Option<ServiceRoute> {
         let spec = self.services.get(&number)?.clone();
         Some(ServiceRoute { number, spec })
     }
 
-    /// Returns the count of services in force.
+    /// Returns the number of services in force.
     pub(crate) fn service_count(&self) -> usize {
         self.services.len()
     }
 
-    /// Returns every service in force in the order of numbers.
+    /// Returns the services in force, ordered by number.
     pub(crate) fn services(&self) -> impl ExactSizeIterator<Item = ServiceRoute> + '_ {
         self.services.iter().map(|(number, spec)| ServiceRoute {
             number: *number,
@@ -70,11 +70,11 @@
         })
     }
 
-    /// Judges an offer against what was accepted before.
-    pub(super) fn judge(&self, manifest: &Manifest) -> OfferVerdict {
+    /// Checks an offered manifest against the accepted versions.
+    pub(super) fn check_offer(&self, manifest: &Manifest) -> ManifestCheck {
         let digest = manifest.digest();
         if let Some(accepted) = self.versions.find(manifest.version, digest) {
-            return OfferVerdict::Resent(ApplyReceipt {
+            return ManifestCheck::Resent(ApplyReceipt {
                 version: accepted.version,
                 digest: accepted.digest,
                 revision: accepted.revision,
@@ -83,9 +83,9 @@
         }
         let in_force = self.version();
         if manifest.replaces == in_force && manifest.version > in_force {
-            return OfferVerdict::Fresh(digest);
+            return ManifestCheck::New(digest);
         }
-        OfferVerdict::Refused(CallRefusal::VersionConflict {
+        ManifestCheck::Refused(CallRefusal::VersionConflict {
             offered: manifest.version,
             replaces: manifest.replaces,
             in_force,
@@ -93,8 +93,8 @@
         })
     }
 
-    /// Returns whether every new name of `manifest` can still get a number.
-    pub(super) fn has_numbers_for(&self, manifest: &Manifest) -> bool {
+    /// Returns whether enough service numbers are free for the new names in `manifest`.
+    pub(super) fn has_free_numbers_for(&self, manifest: &Manifest) -> bool {
         let names: BTreeSet<&str> = manifest
             .services
             .iter()
@@ -104,7 +104,7 @@
         u16::try_from(self.numbers.len() + names.len()).is_ok()
     }
 
-    /// Puts a judged manifest in force and returns the changes of services.
+    /// Puts a checked manifest in force and returns the changes of services.
     pub(super) fn accept(
         &mut self,
         manifest: Manifest,
@@ -116,14 +116,14 @@
             digest,
             revision,
         });
-        let mut wanted = BTreeMap::new();
+        let mut services = BTreeMap::new();
         for spec in manifest.services {
-            wanted.insert(self.assign_number(&spec.name), spec);
+            services.insert(self.assign_number(&spec.name), spec);
         }
-        let former = std::mem::replace(&mut self.services, wanted);
+        let previous = std::mem::replace(&mut self.services, services);
         let mut changes = Vec::new();
         for (number, spec) in &self.services {
-            if former.get(number) != Some(spec) {
+            if previous.get(number) != Some(spec) {
                 let route = ServiceRoute {
                     number: *number,
                     spec: spec.clone(),
@@ -131,7 +131,7 @@
                 changes.push(FeedChange::new(RouteChange::ServiceSet(route), *number));
             }
         }
-        for number in former.keys() {
+        for number in previous.keys() {
             if !self.services.contains_key(number) {
                 let change = RouteChange::ServiceRemoved(*number);
                 changes.push(FeedChange::new(change, *number));
@@ -144,7 +144,7 @@
         if let Some(number) = self.numbers.get(name) {
             return *number;
         }
-        // `has_numbers_for` was asked before, so that the count fits.
+        // `has_free_numbers_for` was checked before, so the count fits.
         let count = u16::try_from(self.numbers.len()).unwrap_or(u16::MAX - 1);
         let number = ServiceNumber::new(count + 1);
         self.numbers.insert(name.to_owned(), number);
--- a/src/control/state/registration_table.rs
+++ b/src/control/state/registration_table.rs
@@ -2,32 +2,32 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::RetiredRuns;
+use super::RetiredIncarnations;
 use crate::{
     control::api::{AnnounceRequest, CallRefusal},
     key::{IncarnationId, ServiceNumber, TargetKey},
     route::TargetRoute,
 };
 
-/// The registered targets, and the runs that may not come back.
+/// The registered targets, and the incarnations that may not register again.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct RegistrationTable {
     targets: BTreeMap<TargetKey, TargetRoute>,
     members: BTreeMap<ServiceNumber, BTreeSet<TargetKey>>,
-    retired: RetiredRuns,
+    retired: RetiredIncarnations,
 }
 
-/// What an announcement did.
+/// The effect of an announcement.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum AnnounceEffect {
-    /// The registration stood as announced.
-    Same,
-    /// The registration is new or changed; `left` is the former service.
+    /// The target was already registered as announced.
+    Unchanged,
+    /// The registration is new or changed.
     Changed {
-        /// What is registered now.
+        /// The registration now.
         route: TargetRoute,
-        /// The service that the address belonged to before.
-        left: Option<ServiceNumber>,
+        /// The service that was registered at the address before, if any.
+        previous_service: Option<ServiceNumber>,
     },
 }
 
@@ -37,12 +37,12 @@
         self.targets.get(&key)
     }
 
-    /// Returns every registration in the order of addresses.
+    /// Returns all registrations, ordered by address.
     pub(crate) fn targets(&self) -> impl ExactSizeIterator<Item = &TargetRoute> {
         self.targets.values()
     }
 
-    /// Returns the registrations of one service in the order of addresses.
+    /// Returns the registrations of one service, ordered by address.
     pub(crate) fn members(&self, service: ServiceNumber) -> impl Iterator<Item = &TargetRoute> {
         let keys = self.members.get(&service).into_iter().flatten();
         keys.filter_map(|key| self.targets.get(key))
@@ -50,8 +50,8 @@
 
     /// Registers a target, or changes its registration.
     ///
-    /// A run that was not seen yet replaces the one at the same address. A run
-    /// that was replaced or withdrawn is refused: its announcement came late.
+    /// A new incarnation replaces the one registered at the same address. A retired one
+    /// (replaced or withdrawn earlier) is refused, since its announcement is stale.
     pub(super) fn announce(
         &mut self,
         request: AnnounceRequest,
@@ -70,27 +70,30 @@
             weight: request.weight,
             phase: request.phase,
         };
-        let former = match self.targets.get(&key) {
-            Some(former) if *former == route => return Ok(AnnounceEffect::Same),
-            Some(former) => Some((former.service, former.incarnation)),
+        let previous = match self.targets.get(&key) {
+            Some(previous) if *previous == route => return Ok(AnnounceEffect::Unchanged),
+            Some(previous) => Some((previous.service, previous.incarnation)),
             None => None,
         };
-        if let Some((registered, incarnation)) = former {
+        if let Some((registered, incarnation)) = previous {
             if incarnation == route.incarnation && registered != service {
                 return Err(CallRefusal::ServiceMismatch { registered });
             }
             if incarnation != route.incarnation {
                 self.retired.retire(key, incarnation);
             }
-            self.forget_member(registered, key);
+            self.remove_member(registered, key);
         }
         self.members.entry(service).or_default().insert(key);
         self.targets.insert(key, route.clone());
-        let left = former.map(|(registered, _)| registered);
-        Ok(AnnounceEffect::Changed { route, left })
+        let previous_service = previous.map(|(registered, _)| registered);
+        Ok(AnnounceEffect::Changed {
+            route,
+            previous_service,
+        })
     }
 
-    /// Takes a run out for good; returns its service if it was registered.
+    /// Removes an incarnation for good; returns its service if it was registered.
     pub(super) fn withdraw(
         &mut self,
         key: TargetKey,
@@ -100,7 +103,8 @@
         self.remove(key, incarnation)
     }
 
-    /// Takes a run out; it may announce itself again.
+    /// Removes an incarnation, which may register again; returns its service if it was
+    /// registered.
     pub(super) fn remove(
         &mut self,
         key: TargetKey,
@@ -112,11 +116,11 @@
         }
         let service = target.service;
         self.targets.remove(&key);
-        self.forget_member(service, key);
+        self.remove_member(service, key);
         Some(service)
     }
 
-    /// Takes out every target of a service that is gone.
+    /// Removes and returns all targets of a removed service.
     pub(super) fn remove_service(&mut self, service: ServiceNumber) -> Vec<TargetKey> {
         let keys: Vec<TargetKey> = self
             .members
@@ -130,7 +134,7 @@
         keys
     }
 
-    fn forget_member(&mut self, service: ServiceNumber, key: TargetKey) {
+    fn remove_member(&mut self, service: ServiceNumber, key: TargetKey) {
         let Some(keys) = self.members.get_mut(&service) else {
             return;
         };
--- a/src/control/state/state_error.rs
+++ b/src/control/state/state_error.rs
@@ -1,10 +1,10 @@
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// Why bytes could not be turned into control state, or back.
+/// A failure to encode or decode state, commands or outcomes.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 pub enum StateError {
-    /// A snapshot has another shape.
+    /// A snapshot can't be encoded or decoded.
     #[error("the snapshot of the control state can't be decoded: {0}")]
     Snapshot(postcard::Error),
     /// A command can't be encoded.
@@ -13,7 +13,7 @@
     /// An outcome can't be decoded.
     #[error("the outcome of a command can't be decoded at column {column}")]
     Outcome {
-        /// Where the decoder stopped.
+        /// The column of the JSON text at which decoding failed.
         column: usize,
     },
 }
--- a/src/control/state/tests/generator.rs
+++ b/src/control/state/tests/generator.rs
@@ -1,4 +1,4 @@
-//! Arbitrary sequences of commands over few names, addresses and runs.
+//! Generates arbitrary command sequences over few names, addresses and incarnations.
 
 use proptest::prelude::*;
 
@@ -11,10 +11,10 @@
     route::TargetPhase,
 };
 
-/// The names that manifests and announcements use.
-pub(crate) const NAMES: [&str; 4] = ["barge", "logbook", "tavole", "raccolta"];
+/// The service names in generated manifests and announcements.
+pub(crate) const SERVICE_NAMES: [&str; 4] = ["barge", "logbook", "tavole", "raccolta"];
 
-/// A settings block that draws the same cases in every run.
+/// Returns a configuration that generates the same cases in every run.
 pub(crate) fn fixed_cases(cases: u32, seed: u64) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -24,10 +24,10 @@
     }
 }
 
-/// Any command; manifests mostly replace a version that may be in force.
+/// Generates any command; manifests mostly replace a version that may be in force.
 pub(crate) fn any_command() -> impl Strategy<Value = ControlCommand> {
     let apply = (1_u64..4, 0_u64..12, 0_usize..16).prop_map(|(step, replaces, mask)| {
-        let names: Vec<&str> = NAMES
+        let names: Vec<&str> = SERVICE_NAMES
             .iter()
             .enumerate()
             .filter(|(index, _)| mask & (1 << index) != 0)
@@ -37,7 +37,7 @@
     });
     let announce =
         (0_usize..4, 1_u8..5, 1_u64..5, 1_u16..3).prop_map(|(name, host, run, weight)| {
-            let mut request = announcement(NAMES[name], host, run);
+            let mut request = announcement(SERVICE_NAMES[name], host, run);
             request.weight = weight;
             if weight == 2 {
                 request.phase = TargetPhase::Leaving;
@@ -45,7 +45,7 @@
             ControlCommand::Announce(request)
         });
     let withdraw = (1_u8..5, 1_u64..5).prop_map(|(host, run)| {
-        let request = announcement(NAMES[0], host, run);
+        let request = announcement(SERVICE_NAMES[0], host, run);
         ControlCommand::Withdraw(WithdrawRequest {
             target: request.target,
             incarnation: request.incarnation,
@@ -53,7 +53,7 @@
     });
     let expire = prop::collection::vec((1_u8..5, 1_u64..5), 1..4).prop_map(|runs| {
         let runs = runs.into_iter().map(|(host, run)| {
-            let request = announcement(NAMES[0], host, run);
+            let request = announcement(SERVICE_NAMES[0], host, run);
             (request.target, request.incarnation)
         });
         ControlCommand::Expire(runs.collect())
@@ -61,10 +61,13 @@
     prop_oneof![4 => apply, 8 => announce, 1 => withdraw, 2 => expire]
 }
 
-/// The first manifest with every name, then any commands.
-pub(crate) fn any_commands(most: usize) -> impl Strategy<Value = Vec<ControlCommand>> {
-    prop::collection::vec(any_command(), 1..most).prop_map(|mut commands| {
-        commands.insert(0, ControlCommand::Apply(manifest(1, 0, &NAMES).manifest));
+/// Generates a first manifest with every service name, followed by any commands.
+pub(crate) fn any_commands(max_commands: usize) -> impl Strategy<Value = Vec<ControlCommand>> {
+    prop::collection::vec(any_command(), 1..max_commands).prop_map(|mut commands| {
+        commands.insert(
+            0,
+            ControlCommand::Apply(manifest(1, 0, &SERVICE_NAMES).manifest),
+        );
         commands
     })
 }
--- a/src/control/state/tests/manifest_rules.rs
+++ b/src/control/state/tests/manifest_rules.rs
@@ -1,4 +1,4 @@
-//! Which manifests are accepted.
+//! Rules for accepting a manifest.
 
 use rstest::rstest;
 
@@ -26,7 +26,7 @@
 #[case::same_version_other_content(5, 0)]
 #[case::wrong_replaces(7, 4)]
 #[case::older_version(4, 5)]
-fn an_offer_against_the_version_in_force_names_it(#[case] version: u64, #[case] replaces: u64) {
+fn a_version_conflict_reports_the_version_in_force(#[case] version: u64, #[case] replaces: u64) {
     let mut state = ControlState::new();
     let ControlOutcome::Applied(winner) = apply(&mut state, 5, 0, &["barge"]) else {
         panic!("the first manifest is accepted");
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn an_older_version_sent_again_gets_its_first_answer_and_changes_nothing() {
+fn a_resent_older_version_gets_its_first_receipt_and_changes_nothing() {
     let mut state = ControlState::new();
     apply(&mut state, 1, 0, &["barge"]);
     apply(&mut state, 2, 1, &["barge", "logbook"]);
@@ -57,14 +57,18 @@
 }
 
 #[test]
-fn a_removed_service_takes_its_targets_along_and_comes_back_under_its_number() {
+fn removing_a_service_removes_its_targets_and_keeps_its_number() {
     let mut state = ControlState::new();
     apply(&mut state, 1, 0, &["barge", "logbook"]);
     let announce = ControlCommand::Announce(announcement("logbook", 1, 1));
     execute(&mut state, &announce);
     let removal = ControlCommand::Apply(manifest(2, 1, &["barge"]).manifest);
-    let step = state.apply(&removal.encode().expect("a command has bytes"));
-    let changes: Vec<&RouteChange> = step.changes.iter().map(|change| &change.change).collect();
+    let transition = state.apply(&removal.encode().expect("a command has bytes"));
+    let changes: Vec<&RouteChange> = transition
+        .changes
+        .iter()
+        .map(|change| &change.change)
+        .collect();
     let number = ServiceNumber::new(2);
     assert!(matches!(
         changes[..],
@@ -85,9 +89,9 @@
 }
 
 #[test]
-fn bytes_that_hold_no_command_change_nothing() {
+fn undecodable_bytes_change_nothing() {
     let mut state = ControlState::new();
-    let step = state.apply(&[255, 255, 255]);
-    assert_eq!(step.outcome, ControlOutcome::Undecodable);
+    let transition = state.apply(&[255, 255, 255]);
+    assert_eq!(transition.outcome, ControlOutcome::Undecodable);
     assert_eq!(state, ControlState::new());
 }
--- a/src/control/state/tests/measures.rs
+++ b/src/control/state/tests/measures.rs
@@ -1,6 +1,6 @@
-//! The state's cost at the size that the design is for.
+//! Measures commands and snapshots at the size that the design is for.
 //!
-//! A debug build runs a short form, so that the code keeps working.
+//! A debug build runs with fewer services and targets, as a smoke test.
 
 use std::{net::SocketAddrV4, time::Instant};
 
--- a/src/control/state/tests/registration_rules.rs
+++ b/src/control/state/tests/registration_rules.rs
@@ -1,15 +1,15 @@
-//! Which runs hold an address.
+//! Rules for registering an incarnation at an address.
 
 use crate::{
     control::{
         api::{AnnounceRequest, CallRefusal, WithdrawRequest},
         server::tests::fixture::{announcement, manifest},
-        state::{ControlCommand, ControlOutcome, ControlState, StateStep},
+        state::{ControlCommand, ControlOutcome, ControlState, StateTransition},
     },
     key::ServiceNumber,
 };
 
-fn execute(state: &mut ControlState, command: &ControlCommand) -> StateStep {
+fn execute(state: &mut ControlState, command: &ControlCommand) -> StateTransition {
     state.apply(&command.encode().expect("a command has bytes"))
 }
 
@@ -17,7 +17,7 @@
     execute(state, &ControlCommand::Announce(request.clone())).outcome
 }
 
-fn prepared() -> ControlState {
+fn state_with_services() -> ControlState {
     let mut state = ControlState::new();
     let first = manifest(1, 0, &["barge", "logbook"]).manifest;
     execute(&mut state, &ControlCommand::Apply(first));
@@ -25,8 +25,8 @@
 }
 
 #[test]
-fn a_new_run_replaces_the_old_one_whose_late_announcement_is_refused() {
-    let mut state = prepared();
+fn a_new_incarnation_replaces_the_old_one_whose_late_announcement_is_refused() {
+    let mut state = state_with_services();
     let (old, new) = (announcement("barge", 1, 1), announcement("barge", 1, 2));
     announce(&mut state, &old);
     assert!(matches!(
@@ -37,27 +37,30 @@
         announce(&mut state, &old),
         ControlOutcome::Refused(CallRefusal::StaleIncarnation)
     );
-    let held = state
+    let registered = state
         .registrations()
         .target(old.target)
         .expect("registered");
-    assert_eq!(held.incarnation, new.incarnation);
+    assert_eq!(registered.incarnation, new.incarnation);
 }
 
 #[test]
-fn a_reused_address_leaves_its_former_service() {
-    let mut state = prepared();
+fn a_reused_address_moves_to_the_new_service() {
+    let mut state = state_with_services();
     announce(&mut state, &announcement("barge", 1, 1));
     let moved = ControlCommand::Announce(announcement("logbook", 1, 2));
-    let step = execute(&mut state, &moved);
-    assert_eq!(step.changes[0].left, Some(ServiceNumber::new(1)));
+    let transition = execute(&mut state, &moved);
+    assert_eq!(
+        transition.changes[0].previous_service,
+        Some(ServiceNumber::new(1))
+    );
     let members = state.registrations().members(ServiceNumber::new(1));
     assert_eq!(members.count(), 0);
 }
 
 #[test]
-fn one_run_belongs_to_one_service() {
-    let mut state = prepared();
+fn an_incarnation_belongs_to_one_service() {
+    let mut state = state_with_services();
     announce(&mut state, &announcement("barge", 1, 1));
     let refused = announce(&mut state, &announcement("logbook", 1, 1));
     let registered = ServiceNumber::new(1);
@@ -68,32 +71,32 @@
 }
 
 #[test]
-fn a_withdrawn_run_stays_away_and_an_expired_one_may_come_back() {
-    let mut state = prepared();
-    let (gone, silent) = (announcement("barge", 1, 1), announcement("barge", 2, 1));
-    announce(&mut state, &gone);
-    announce(&mut state, &silent);
+fn an_expired_incarnation_may_register_again_but_a_withdrawn_one_may_not() {
+    let mut state = state_with_services();
+    let (withdrawn, expired) = (announcement("barge", 1, 1), announcement("barge", 2, 1));
+    announce(&mut state, &withdrawn);
+    announce(&mut state, &expired);
     let withdrawal = WithdrawRequest {
-        target: gone.target,
-        incarnation: gone.incarnation,
+        target: withdrawn.target,
+        incarnation: withdrawn.incarnation,
     };
     execute(&mut state, &ControlCommand::Withdraw(withdrawal));
-    let expiry = ControlCommand::Expire(vec![(silent.target, silent.incarnation)]);
+    let expiry = ControlCommand::Expire(vec![(expired.target, expired.incarnation)]);
     execute(&mut state, &expiry);
     assert_eq!(state.registrations().targets().len(), 0);
     assert!(matches!(
-        announce(&mut state, &gone),
+        announce(&mut state, &withdrawn),
         ControlOutcome::Refused(_)
     ));
     assert!(matches!(
-        announce(&mut state, &silent),
+        announce(&mut state, &expired),
         ControlOutcome::Announced { .. }
     ));
 }
 
 #[test]
-fn an_expiry_or_withdrawal_of_another_run_changes_nothing() {
-    let mut state = prepared();
+fn an_expiry_or_withdrawal_of_another_incarnation_changes_nothing() {
+    let mut state = state_with_services();
     let request = announcement("barge", 1, 2);
     announce(&mut state, &request);
     let old = announcement("barge", 1, 1);
--- a/src/control/state/tests/sequences.rs
+++ b/src/control/state/tests/sequences.rs
@@ -1,20 +1,20 @@
-//! Properties of arbitrary sequences of commands.
+//! Properties that hold for arbitrary command sequences.
 
 use std::collections::BTreeMap;
 
 use proptest::prelude::*;
 
-use super::generator::{NAMES, any_commands, fixed_cases};
+use super::generator::{SERVICE_NAMES, any_commands, fixed_cases};
 use crate::{
     control::{
         api::ApplyReceipt,
         server::tests::fixture::manifest,
-        state::{ControlCommand, ControlOutcome, ControlState, StateStep},
+        state::{ControlCommand, ControlOutcome, ControlState, StateTransition},
     },
     key::ServiceNumber,
 };
 
-fn execute(state: &mut ControlState, command: &ControlCommand) -> StateStep {
+fn execute(state: &mut ControlState, command: &ControlCommand) -> StateTransition {
     state.apply(&command.encode().expect("a command has bytes"))
 }
 
@@ -22,7 +22,7 @@
     #![proptest_config(fixed_cases(256, 21))]
 
     #[test]
-    fn a_restored_state_is_equal_and_goes_on_alike(
+    fn a_restored_state_is_equal_and_executes_commands_alike(
         commands in any_commands(40),
         cut in 0_usize..40,
     ) {
@@ -35,33 +35,33 @@
         let mut restored = ControlState::restore(&bytes).expect("its own bytes");
         prop_assert_eq!(&restored, &state);
         for command in &commands[cut..] {
-            let step = execute(&mut state, command);
-            prop_assert_eq!(execute(&mut restored, command), step);
+            let transition = execute(&mut state, command);
+            prop_assert_eq!(execute(&mut restored, command), transition);
         }
         prop_assert_eq!(restored.snapshot(), state.snapshot());
     }
 
     #[test]
-    fn the_revision_grows_by_one_with_each_effect_and_versions_never_revert(
+    fn each_effective_command_advances_the_revision_by_one_and_versions_never_revert(
         commands in any_commands(60),
     ) {
         let mut state = ControlState::new();
         for command in &commands {
             let before = (state.revision(), state.manifest().version());
             let bytes = state.snapshot();
-            let step = execute(&mut state, command);
-            let expected = if step.effective { before.0.next() } else { before.0 };
+            let transition = execute(&mut state, command);
+            let expected = if transition.effective { before.0.next() } else { before.0 };
             prop_assert_eq!(state.revision(), expected);
             prop_assert!(state.manifest().version() >= before.1);
-            if !step.effective {
-                prop_assert!(step.changes.is_empty());
+            if !transition.effective {
+                prop_assert!(transition.changes.is_empty());
                 prop_assert!(state.snapshot() == bytes || is_withdrawal(command));
             }
         }
     }
 
     #[test]
-    fn a_resent_manifest_gets_its_first_answer(commands in any_commands(60)) {
+    fn a_resent_manifest_gets_its_first_receipt(commands in any_commands(60)) {
         let mut state = ControlState::new();
         let mut accepted: Vec<(ControlCommand, ApplyReceipt)> = Vec::new();
         for command in &commands {
@@ -80,7 +80,7 @@
     }
 
     #[test]
-    fn one_version_has_one_content(commands in any_commands(60)) {
+    fn a_version_has_only_one_content(commands in any_commands(60)) {
         let mut state = ControlState::new();
         let mut contents = BTreeMap::new();
         for command in &commands {
@@ -92,12 +92,12 @@
     }
 
     #[test]
-    fn a_name_keeps_its_number(commands in any_commands(60)) {
+    fn a_service_name_keeps_its_number(commands in any_commands(60)) {
         let mut state = ControlState::new();
         let mut numbers: BTreeMap<&str, ServiceNumber> = BTreeMap::new();
         for command in &commands {
             execute(&mut state, command);
-            for name in NAMES {
+            for name in SERVICE_NAMES {
                 if let Some(number) = state.manifest().number(name) {
                     prop_assert_eq!(*numbers.entry(name).or_insert(number), number);
                 }
@@ -123,24 +123,25 @@
     }
 
     #[test]
-    fn of_operators_with_equal_versions_exactly_one_wins(
+    fn only_one_of_several_manifests_with_equal_versions_is_accepted(
         masks in prop::collection::btree_set(1_usize..16, 2..6),
     ) {
         let mut state = ControlState::new();
-        let mut won = 0;
+        let mut accepted = 0;
         for mask in masks {
             let names: Vec<&str> = (0..4)
                 .filter(|index| mask & (1 << index) != 0)
-                .map(|index| NAMES[index])
+                .map(|index| SERVICE_NAMES[index])
                 .collect();
             let command = ControlCommand::Apply(manifest(1, 0, &names).manifest);
-            won += usize::from(execute(&mut state, &command).effective);
+            accepted += usize::from(execute(&mut state, &command).effective);
         }
-        prop_assert_eq!(won, 1);
+        prop_assert_eq!(accepted, 1);
     }
 }
 
-/// A withdrawal retires its run also when nothing was registered.
+/// Returns whether the command is a withdrawal, which retires its incarnation even if
+/// nothing was registered.
 fn is_withdrawal(command: &ControlCommand) -> bool {
     matches!(command, ControlCommand::Withdraw(_))
 }
--- a/src/control/store/state_handle.rs
+++ b/src/control/store/state_handle.rs
@@ -46,12 +46,12 @@
     /// Executes one committed command and wakes the watchers that it concerns.
     pub(crate) fn apply(&self, command: &[u8]) -> Vec<u8> {
         let mut shared = self.lock();
-        let step = shared.replica.apply(command);
-        if step.effective {
+        let transition = shared.replica.apply(command);
+        if transition.effective {
             let revision = shared.replica.state().revision();
-            shared.signals.announce(revision, &step.changes);
+            shared.signals.announce(revision, &transition.changes);
         }
-        step.outcome.encode()
+        transition.outcome.encode()
     }
 
     /// Returns the agreed state as bytes.
