--- a/src/control/lease/lease_verdict.rs
+++ b/src/control/lease/expiry_decision.rs
@@ -5,24 +5,25 @@
     key::{IncarnationId, ServiceNumber, TargetKey},
 };
 
-/// Leases of a service that are kept though they ran out.
+/// A service whose leases are kept past their deadline because more than half of its
+/// targets are silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct HoldReport {
     /// The service.
     pub(crate) service: ServiceNumber,
-    /// Its targets that are silent.
+    /// The number of its silent targets.
     pub(crate) silent: usize,
-    /// All its targets.
+    /// The number of all its targets.
     pub(crate) targets: usize,
-    /// The time until this is decided again.
+    /// The time until the leases are decided again.
     pub(crate) hold: SpanMillis,
 }
 
-/// What is to be done about leases that ran out.
+/// What to do about leases that are past their deadline.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Reply)]
-pub(crate) struct LeaseVerdict {
-    /// The runs to expire, by a committed command.
+pub(crate) struct ExpiryDecision {
+    /// The incarnations to expire with a committed command.
     pub(crate) expired: Vec<(TargetKey, IncarnationId)>,
-    /// The services whose silent targets are kept from now on.
+    /// The services for which a hold starts or is renewed now.
     pub(crate) held: Vec<HoldReport>,
 }
--- a/src/control/lease/lease_keeper.rs
+++ b/src/control/lease/lease_keeper.rs
@@ -3,53 +3,53 @@
     message::{Context, Message},
 };
 
-use super::{LeaseTable, LeaseVerdict};
+use super::{ExpiryDecision, LeaseTable};
 use crate::{
     clock::ProcessClock,
     control::store::{RegistrationChanges, StateHandle},
     key::{FeedRevision, IncarnationId, TargetKey},
 };
 
-/// Keeps the leases while this replica leads; the actor around the table.
+/// The actor that owns the lease table. Only a leading replica keeps leases.
 #[derive(Actor)]
 pub(crate) struct LeaseKeeper {
     state: StateHandle,
     clock: ProcessClock,
     table: LeaseTable,
-    seen: FeedRevision,
+    synced_revision: FeedRevision,
 }
 
-/// This replica became the leader: every run gets a full lease.
+/// This replica became the leader: grants a full lease to every registered incarnation.
 #[derive(Debug)]
 pub(crate) struct TakeLeases;
 
-/// This replica no longer leads: no lease is kept.
+/// This replica no longer leads: drops all leases.
 #[derive(Debug)]
 pub(crate) struct ResignLeases;
 
-/// A run sent a heartbeat; the reply tells whether it is registered.
+/// Renews a lease on a heartbeat; replies whether the incarnation is registered.
 #[derive(Debug)]
 pub(crate) struct RenewLease {
     /// The target's address.
     pub(crate) target: TargetKey,
-    /// The run that was heard.
+    /// The incarnation that sent the heartbeat.
     pub(crate) incarnation: IncarnationId,
 }
 
-/// Asks what is to be done about leases that ran out.
+/// Asks what to do about leases that are past their deadline.
 #[derive(Debug)]
 pub(crate) struct DecideLeases;
 
-/// Asks how many leases are kept.
+/// Asks for the number of leases and holds.
 #[derive(Debug)]
 pub(crate) struct CountLeases;
 
-/// How many leases are kept.
+/// The number of leases and holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Reply)]
 pub(crate) struct LeaseCount {
     /// All leases.
     pub(crate) leases: usize,
-    /// The services whose silent leases are held.
+    /// The services with a hold on mass expiry.
     pub(crate) holds: usize,
 }
 
@@ -60,26 +60,26 @@
             state,
             clock,
             table: LeaseTable::default(),
-            seen: FeedRevision::EMPTY,
+            synced_revision: FeedRevision::EMPTY,
         }
     }
 
-    /// Follows the registrations that were committed since the last time.
-    fn follow_registrations(&mut self) {
+    /// Applies the registration changes committed since `synced_revision` to the table.
+    fn sync_registrations(&mut self) {
         let now = self.clock.now();
-        let (revision, changes) = self.state.registration_changes(self.seen);
+        let (revision, changes) = self.state.registration_changes(self.synced_revision);
         match changes {
-            RegistrationChanges::Some(changes) => {
-                for (target, claim) in changes {
-                    match claim {
-                        Some(claim) => self.table.grant(claim, now),
+            RegistrationChanges::Incremental(changes) => {
+                for (target, holder) in changes {
+                    match holder {
+                        Some(holder) => self.table.grant(holder, now),
                         None => self.table.remove_target(target),
                     }
                 }
             }
-            RegistrationChanges::All(claims) => self.table.replace_claims(claims, now),
+            RegistrationChanges::Full(holders) => self.table.sync_holders(holders, now),
         }
-        self.seen = revision;
+        self.synced_revision = revision;
     }
 }
 
@@ -88,8 +88,8 @@
 
     async fn handle(&mut self, _message: TakeLeases, _context: &mut Context<Self, ()>) {
         self.table = LeaseTable::default();
-        self.seen = FeedRevision::EMPTY;
-        self.follow_registrations();
+        self.synced_revision = FeedRevision::EMPTY;
+        self.sync_registrations();
     }
 }
 
@@ -98,7 +98,7 @@
 
     async fn handle(&mut self, _message: ResignLeases, _context: &mut Context<Self, ()>) {
         self.table = LeaseTable::default();
-        self.seen = FeedRevision::EMPTY;
+        self.synced_revision = FeedRevision::EMPTY;
     }
 }
 
@@ -114,10 +114,10 @@
         if self.table.renew(message.target, message.incarnation, now) {
             return true;
         }
-        // The registration may be younger than the last look at the state.
-        match self.state.claim(message.target) {
-            Some(claim) if claim.incarnation == message.incarnation => {
-                self.table.grant(claim, now);
+        // The target may have been registered after the last sync with the state.
+        match self.state.lease_holder(message.target) {
+            Some(holder) if holder.incarnation == message.incarnation => {
+                self.table.grant(holder, now);
                 true
             }
             _ => false,
@@ -126,15 +126,15 @@
 }
 
 impl Message<DecideLeases> for LeaseKeeper {
-    type Reply = LeaseVerdict;
+    type Reply = ExpiryDecision;
 
     async fn handle(
         &mut self,
         _message: DecideLeases,
         _context: &mut Context<Self, Self::Reply>,
     ) -> Self::Reply {
-        self.follow_registrations();
-        self.table.decide(self.clock.now())
+        self.sync_registrations();
+        self.table.decide_expiries(self.clock.now())
     }
 }
 
--- a/src/control/lease/lease_record.rs
+++ b/src/control/lease/lease_record.rs
@@ -3,24 +3,24 @@
     key::{IncarnationId, ServiceNumber, TargetKey},
 };
 
-/// A registered run whose lease is kept.
+/// A registered incarnation, which holds a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LeaseClaim {
     /// The target's address.
     pub(crate) target: TargetKey,
-    /// The run that is registered there.
+    /// The incarnation registered at the address.
     pub(crate) incarnation: IncarnationId,
     /// The service that the target belongs to.
     pub(crate) service: ServiceNumber,
 }
 
-/// The lease of one registered run.
+/// The lease of one registered incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct LeaseRecord {
-    /// Whose lease it is.
-    pub(crate) claim: LeaseClaim,
-    /// The count of grants at which this one was made; it tells records apart.
-    pub(crate) grant: u64,
-    /// When the run was last heard, or granted a full lease.
-    pub(crate) renewed: ClockMillis,
+    /// The incarnation that holds the lease.
+    pub(crate) holder: LeaseClaim,
+    /// A number unique to this record, since slots are reused.
+    pub(crate) generation: u64,
+    /// The time of the last heartbeat or grant.
+    pub(crate) renewed_at: ClockMillis,
 }
--- a/src/control/lease/lease_table.rs
+++ b/src/control/lease/lease_table.rs
@@ -5,153 +5,157 @@
 
 use slab::Slab;
 
-use super::{HoldReport, LeaseClaim, LeaseRecord, LeaseVerdict, ServiceHold};
+use super::{ExpiryDecision, ExpiryHold, HoldReport, LeaseClaim, LeaseRecord};
 use crate::{
     clock::{ClockMillis, SpanMillis},
     key::{IncarnationId, ServiceNumber, TargetKey},
 };
 
-/// The time after which a lease runs out without a heartbeat.
+/// The time without a heartbeat after which a lease expires.
 pub(crate) const LEASE_MILLIS: SpanMillis = SpanMillis::new(15_000);
-/// The silence from which a target counts as silent beside one that ran out.
+/// The time without a heartbeat after which a target counts as silent when the lease of
+/// another target of its service expires.
 const SILENT_MILLIS: SpanMillis = SpanMillis::new(7_500);
-/// The time after which an expiry that was not committed is asked for again.
+/// The time after which an expiry is requested again if it was not committed.
 const EXPIRE_RETRY_MILLIS: SpanMillis = SpanMillis::new(2_000);
 
-/// When a lease comes up for a decision.
+/// The time at which a lease is checked for expiry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueEntry {
     due: ClockMillis,
     slot: usize,
-    grant: u64,
+    generation: u64,
 }
 
-/// The leases of all registered runs.
+/// The leases of all registered incarnations.
 ///
-/// A heartbeat only notes the time. Each lease has one entry in a heap; when
-/// it comes up, a lease that was renewed meanwhile is put back.
+/// A heartbeat only records the time. Each lease has one live entry in a heap ordered by
+/// due time; when the entry is due, a lease renewed meanwhile is queued again.
 #[derive(Debug, Default)]
 pub(crate) struct LeaseTable {
     records: Slab<LeaseRecord>,
-    slots: HashMap<TargetKey, usize>,
-    members: HashMap<ServiceNumber, BTreeSet<usize>>,
+    slots_by_target: HashMap<TargetKey, usize>,
+    slots_by_service: HashMap<ServiceNumber, BTreeSet<usize>>,
     queue: BinaryHeap<Reverse<QueueEntry>>,
-    granted: u64,
-    holds: BTreeMap<ServiceNumber, ServiceHold>,
+    last_generation: u64,
+    holds: BTreeMap<ServiceNumber, ExpiryHold>,
 }
 
 impl LeaseTable {
-    /// Grants a full lease to every registered run, as a new leader does.
+    /// Creates a table with a full lease for each holder.
     #[cfg(test)]
-    pub(crate) fn with_claims(
-        claims: impl IntoIterator<Item = LeaseClaim>,
+    pub(crate) fn with_holders(
+        holders: impl IntoIterator<Item = LeaseClaim>,
         now: ClockMillis,
     ) -> Self {
         let mut table = Self::default();
-        for claim in claims {
-            table.grant(claim, now);
+        for holder in holders {
+            table.grant(holder, now);
         }
         table
     }
 
-    /// Keeps leases for exactly these runs; those that are kept run on.
-    pub(crate) fn replace_claims(&mut self, claims: Vec<LeaseClaim>, now: ClockMillis) {
-        let registered: BTreeSet<TargetKey> = claims.iter().map(|claim| claim.target).collect();
-        let gone: Vec<TargetKey> = self
-            .slots
+    /// Makes `holders` the only lease holders. Existing leases keep their deadline.
+    pub(crate) fn sync_holders(&mut self, holders: Vec<LeaseClaim>, now: ClockMillis) {
+        let registered: BTreeSet<TargetKey> = holders.iter().map(|holder| holder.target).collect();
+        let unregistered: Vec<TargetKey> = self
+            .slots_by_target
             .keys()
             .filter(|target| !registered.contains(target))
             .copied()
             .collect();
-        for target in gone {
+        for target in unregistered {
             self.remove_target(target);
         }
-        for claim in claims {
-            self.hold(claim, now);
+        for holder in holders {
+            self.ensure_lease(holder, now);
         }
     }
 
-    /// Returns the leases that are kept.
+    /// Returns the number of leases.
     pub(crate) fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Returns the services whose silent leases are held.
+    /// Returns the number of services with a hold on mass expiry.
     pub(crate) fn holds(&self) -> usize {
         self.holds.len()
     }
 
-    /// Grants a full lease to a run; another run at the address loses its own.
-    pub(crate) fn grant(&mut self, claim: LeaseClaim, now: ClockMillis) {
-        self.hold(claim, now);
-        self.renew(claim.target, claim.incarnation, now);
+    /// Grants a full lease to an incarnation, replacing that of another at the address.
+    pub(crate) fn grant(&mut self, holder: LeaseClaim, now: ClockMillis) {
+        self.ensure_lease(holder, now);
+        self.renew(holder.target, holder.incarnation, now);
     }
 
-    /// Keeps the lease of a run, and grants one if there is none.
-    fn hold(&mut self, claim: LeaseClaim, now: ClockMillis) {
-        if self.claim_of(claim.target) == Some(claim) {
+    /// Grants a full lease unless `holder` already has one.
+    fn ensure_lease(&mut self, holder: LeaseClaim, now: ClockMillis) {
+        if self.holder_of(holder.target) == Some(holder) {
             return;
         }
-        self.remove_target(claim.target);
-        self.granted += 1;
+        self.remove_target(holder.target);
+        self.last_generation += 1;
         let slot = self.records.insert(LeaseRecord {
-            claim,
-            grant: self.granted,
-            renewed: now,
+            holder,
+            generation: self.last_generation,
+            renewed_at: now,
         });
-        self.slots.insert(claim.target, slot);
-        self.members.entry(claim.service).or_default().insert(slot);
+        self.slots_by_target.insert(holder.target, slot);
+        self.slots_by_service
+            .entry(holder.service)
+            .or_default()
+            .insert(slot);
         self.enqueue(slot, now.after(LEASE_MILLIS));
     }
 
-    /// Renews the lease of a run; returns whether it is kept here.
+    /// Renews the lease of an incarnation; returns whether it has one.
     pub(crate) fn renew(
         &mut self,
         target: TargetKey,
         incarnation: IncarnationId,
         now: ClockMillis,
     ) -> bool {
-        let Some(slot) = self.slots.get(&target) else {
+        let Some(slot) = self.slots_by_target.get(&target) else {
             return false;
         };
         let record = &mut self.records[*slot];
-        if record.claim.incarnation != incarnation {
+        if record.holder.incarnation != incarnation {
             return false;
         }
-        record.renewed = record.renewed.max(now);
+        record.renewed_at = record.renewed_at.max(now);
         true
     }
 
-    /// Drops whatever lease is kept for an address.
+    /// Removes the lease of whichever incarnation is registered at an address.
     pub(crate) fn remove_target(&mut self, target: TargetKey) {
-        let Some(slot) = self.slots.remove(&target) else {
+        let Some(slot) = self.slots_by_target.remove(&target) else {
             return;
         };
         let record = self.records.remove(slot);
-        let service = record.claim.service;
-        if let Some(members) = self.members.get_mut(&service) {
+        let service = record.holder.service;
+        if let Some(members) = self.slots_by_service.get_mut(&service) {
             members.remove(&slot);
             if members.is_empty() {
-                self.members.remove(&service);
+                self.slots_by_service.remove(&service);
                 self.holds.remove(&service);
             }
         }
     }
 
-    /// Decides about the leases that ran out by `now`.
+    /// Decides which of the leases past their deadline expire and which are held.
     ///
-    /// The expired ones stay in the table until the command that removes
-    /// them is committed; until then they come up again with each decision.
-    pub(crate) fn decide(&mut self, now: ClockMillis) -> LeaseVerdict {
-        let mut verdict = LeaseVerdict::default();
-        for (service, slots) in self.overdue(now) {
-            self.decide_service(service, &slots, now, &mut verdict);
+    /// Expired leases stay in the table until the command that removes their targets is
+    /// committed. Until then they are decided again after `EXPIRE_RETRY_MILLIS`.
+    pub(crate) fn decide_expiries(&mut self, now: ClockMillis) -> ExpiryDecision {
+        let mut decision = ExpiryDecision::default();
+        for (service, slots) in self.pop_overdue(now) {
+            self.decide_service(service, &slots, now, &mut decision);
         }
-        verdict
+        decision
     }
 
-    /// Takes the leases that ran out from the queue, by service.
-    fn overdue(&mut self, now: ClockMillis) -> BTreeMap<ServiceNumber, Vec<usize>> {
+    /// Pops the leases past their deadline from the queue, grouped by service.
+    fn pop_overdue(&mut self, now: ClockMillis) -> BTreeMap<ServiceNumber, Vec<usize>> {
         let mut overdue: BTreeMap<ServiceNumber, Vec<usize>> = BTreeMap::new();
         while let Some(Reverse(entry)) = self.queue.peek().copied() {
             if entry.due > now {
@@ -159,14 +163,14 @@
             }
             self.queue.pop();
             let record = self.records.get(entry.slot);
-            let Some(record) = record.filter(|record| record.grant == entry.grant) else {
+            let Some(record) = record.filter(|record| record.generation == entry.generation) else {
                 continue;
             };
-            let deadline = record.renewed.after(LEASE_MILLIS);
+            let deadline = record.renewed_at.after(LEASE_MILLIS);
             if deadline > now {
                 self.enqueue(entry.slot, deadline);
             } else {
-                let slots = overdue.entry(record.claim.service).or_default();
+                let slots = overdue.entry(record.holder.service).or_default();
                 slots.push(entry.slot);
             }
         }
@@ -178,43 +182,43 @@
         service: ServiceNumber,
         slots: &[usize],
         now: ClockMillis,
-        verdict: &mut LeaseVerdict,
+        decision: &mut ExpiryDecision,
     ) {
-        let targets = self.members.get(&service).map_or(0, BTreeSet::len);
-        let silent = self.count_silent(service, now);
-        let suspicious = silent * 2 > targets;
+        let targets = self.slots_by_service.get(&service).map_or(0, BTreeSet::len);
+        let silent = self.silent_count(service, now);
+        let majority_silent = silent * 2 > targets;
         let hold = self.holds.get(&service).copied();
         match hold {
-            Some(hold) if suspicious && hold.until > now => {
+            Some(hold) if majority_silent && hold.until > now => {
                 self.postpone(slots, hold.until);
             }
-            Some(_) if suspicious && silent < targets => {
-                // The others are heard, so the silent ones are gone in truth.
+            Some(_) if majority_silent && silent < targets => {
+                // Other targets still send heartbeats, so the silent ones have failed.
                 self.holds.remove(&service);
-                self.expire(slots, now, verdict);
+                self.expire(slots, now, decision);
             }
-            _ if suspicious => {
-                let hold = ServiceHold::new(now);
+            _ if majority_silent => {
+                let hold = ExpiryHold::new(now);
                 self.holds.insert(service, hold);
                 self.postpone(slots, hold.until);
-                verdict.held.push(HoldReport {
+                decision.held.push(HoldReport {
                     service,
                     silent,
                     targets,
-                    hold: hold.rest(now),
+                    hold: hold.remaining(now),
                 });
             }
             _ => {
                 self.holds.remove(&service);
-                self.expire(slots, now, verdict);
+                self.expire(slots, now, decision);
             }
         }
     }
 
-    fn count_silent(&self, service: ServiceNumber, now: ClockMillis) -> usize {
-        let members = self.members.get(&service).into_iter().flatten();
-        members
-            .filter(|slot| now.since(self.records[**slot].renewed) >= SILENT_MILLIS)
+    fn silent_count(&self, service: ServiceNumber, now: ClockMillis) -> usize {
+        let slots = self.slots_by_service.get(&service).into_iter().flatten();
+        slots
+            .filter(|slot| now.since(self.records[**slot].renewed_at) >= SILENT_MILLIS)
             .count()
     }
 
@@ -224,21 +228,25 @@
         }
     }
 
-    fn expire(&mut self, slots: &[usize], now: ClockMillis, verdict: &mut LeaseVerdict) {
+    fn expire(&mut self, slots: &[usize], now: ClockMillis, decision: &mut ExpiryDecision) {
         for slot in slots {
-            let claim = self.records[*slot].claim;
-            verdict.expired.push((claim.target, claim.incarnation));
+            let holder = self.records[*slot].holder;
+            decision.expired.push((holder.target, holder.incarnation));
             self.enqueue(*slot, now.after(EXPIRE_RETRY_MILLIS));
         }
     }
 
     fn enqueue(&mut self, slot: usize, due: ClockMillis) {
-        let grant = self.records[slot].grant;
-        self.queue.push(Reverse(QueueEntry { due, slot, grant }));
+        let generation = self.records[slot].generation;
+        self.queue.push(Reverse(QueueEntry {
+            due,
+            slot,
+            generation,
+        }));
     }
 
-    fn claim_of(&self, target: TargetKey) -> Option<LeaseClaim> {
-        let slot = self.slots.get(&target)?;
-        Some(self.records[*slot].claim)
+    fn holder_of(&self, target: TargetKey) -> Option<LeaseClaim> {
+        let slot = self.slots_by_target.get(&target)?;
+        Some(self.records[*slot].holder)
     }
 }
--- a/src/control/lease/mod.rs
+++ b/src/control/lease/mod.rs
@@ -1,19 +1,19 @@
-//! Leases of registered targets, kept in memory at the leading replica.
+//! Leases of registered targets, kept in the memory of the leading replica.
 
+mod expiry_decision;
+mod expiry_hold;
 mod lease_keeper;
 mod lease_record;
 mod lease_table;
-mod lease_verdict;
-mod service_hold;
 
+pub(crate) use expiry_decision::{ExpiryDecision, HoldReport};
 pub(crate) use lease_keeper::{
     CountLeases, DecideLeases, LeaseKeeper, RenewLease, ResignLeases, TakeLeases,
 };
 pub(crate) use lease_record::{LeaseClaim, LeaseRecord};
 pub(crate) use lease_table::{LEASE_MILLIS, LeaseTable};
-pub(crate) use lease_verdict::{HoldReport, LeaseVerdict};
 
-use service_hold::ServiceHold;
+use expiry_hold::ExpiryHold;
 
 #[cfg(test)]
 mod tests;
--- a/src/control/lease/tests/mass_expiry.rs
+++ b/src/control/lease/tests/mass_expiry.rs
@@ -1,8 +1,8 @@
-//! Many leases that run out together.
+//! Holding back the expiry of many leases at once.
 
 use rstest::rstest;
 
-use super::renewal::{claim, expired, renew, three_targets};
+use super::renewal::{expired, holder, renew, three_targets};
 use crate::{
     clock::{ClockMillis, SpanMillis},
     control::lease::{HoldReport, LeaseTable},
@@ -10,66 +10,66 @@
 };
 
 #[test]
-fn targets_that_fall_silent_together_are_kept_and_reported() {
-    let (mut table, claims) = three_targets();
-    // Their last heartbeats were spread over the heartbeat's period.
-    renew(&mut table, claims[0], 10_000);
-    renew(&mut table, claims[1], 11_500);
-    renew(&mut table, claims[2], 13_000);
-    let verdict = table.decide(ClockMillis::new(25_000));
-    assert!(verdict.expired.is_empty());
+fn targets_that_fall_silent_together_are_held_and_reported() {
+    let (mut table, holders) = three_targets();
+    // Their last heartbeats are spread over one heartbeat period.
+    renew(&mut table, holders[0], 10_000);
+    renew(&mut table, holders[1], 11_500);
+    renew(&mut table, holders[2], 13_000);
+    let decision = table.decide_expiries(ClockMillis::new(25_000));
+    assert!(decision.expired.is_empty());
     let report = HoldReport {
         service: ServiceNumber::new(1),
         silent: 3,
         targets: 3,
         hold: SpanMillis::new(60_000),
     };
-    assert_eq!(verdict.held, [report]);
+    assert_eq!(decision.held, [report]);
     for now in [26_500, 28_000, 60_000, 84_999] {
-        let verdict = table.decide(ClockMillis::new(now));
-        assert!(verdict.expired.is_empty() && verdict.held.is_empty());
+        let decision = table.decide_expiries(ClockMillis::new(now));
+        assert!(decision.expired.is_empty() && decision.held.is_empty());
     }
 }
 
 #[test]
-fn while_nobody_is_heard_the_hold_is_renewed_and_reported_again() {
+fn while_all_targets_are_silent_the_hold_is_renewed_and_reported_again() {
     let (mut table, _) = three_targets();
     let mut reports = 0;
     for now in (0..600_000).step_by(250) {
-        let verdict = table.decide(ClockMillis::new(now));
-        assert!(verdict.expired.is_empty());
-        reports += verdict.held.len();
+        let decision = table.decide_expiries(ClockMillis::new(now));
+        assert!(decision.expired.is_empty());
+        reports += decision.held.len();
     }
     assert_eq!(reports, 10);
 }
 
 #[test]
-fn targets_still_silent_after_the_hold_expire_if_others_are_heard() {
-    let (mut table, claims) = three_targets();
+fn targets_still_silent_after_the_hold_expire_if_others_send_heartbeats() {
+    let (mut table, holders) = three_targets();
     assert!(expired(&mut table, 15_000).is_empty());
     for now in (16_000..75_000).step_by(5_000) {
-        renew(&mut table, claims[0], now);
+        renew(&mut table, holders[0], now);
         assert!(expired(&mut table, now).is_empty());
     }
     let mut gone = expired(&mut table, 75_000);
-    gone.sort_by_key(|claim| claim.target);
-    assert_eq!(gone, claims[1..]);
+    gone.sort_by_key(|holder| holder.target);
+    assert_eq!(gone, holders[1..]);
 }
 
 #[test]
-fn targets_that_are_heard_again_end_the_hold() {
-    let (mut table, claims) = three_targets();
+fn targets_that_send_heartbeats_again_end_the_hold() {
+    let (mut table, holders) = three_targets();
     assert!(expired(&mut table, 15_000).is_empty());
     for now in (20_000..120_000).step_by(5_000) {
-        for claim in claims {
-            renew(&mut table, claim, now);
+        for holder in holders {
+            renew(&mut table, holder, now);
         }
         assert!(expired(&mut table, now).is_empty());
     }
-    // A single one that falls silent later expires without another hold.
-    renew(&mut table, claims[0], 124_000);
-    renew(&mut table, claims[1], 124_000);
-    assert_eq!(expired(&mut table, 130_000), [claims[2]]);
+    // A single target that falls silent later expires without another hold.
+    renew(&mut table, holders[0], 124_000);
+    renew(&mut table, holders[1], 124_000);
+    assert_eq!(expired(&mut table, 130_000), [holders[2]]);
 }
 
 #[rstest]
@@ -82,25 +82,25 @@
     #[case] silent: u8,
     #[case] expire: bool,
 ) {
-    let claims: Vec<_> = (1..=targets).map(|host| claim(1, host, 1)).collect();
-    let mut table = LeaseTable::with_claims(claims.clone(), ClockMillis::ORIGIN);
-    for claim in &claims[usize::from(silent)..] {
-        renew(&mut table, *claim, 14_000);
+    let holders: Vec<_> = (1..=targets).map(|host| holder(1, host, 1)).collect();
+    let mut table = LeaseTable::with_holders(holders.clone(), ClockMillis::ORIGIN);
+    for holder in &holders[usize::from(silent)..] {
+        renew(&mut table, *holder, 14_000);
     }
     let gone = expired(&mut table, 15_000).len();
     assert_eq!(gone, if expire { usize::from(silent) } else { 0 });
 }
 
 #[test]
-fn a_hold_of_one_service_leaves_the_others_alone() {
-    let mut claims: Vec<_> = (1..=3).map(|host| claim(1, host, 1)).collect();
-    claims.extend((4..=6).map(|host| claim(2, host, 1)));
-    let mut table = LeaseTable::with_claims(claims.clone(), ClockMillis::ORIGIN);
-    renew(&mut table, claims[3], 14_000);
-    renew(&mut table, claims[4], 14_000);
-    let verdict = table.decide(ClockMillis::new(15_000));
-    assert_eq!(verdict.held.len(), 1);
-    let gone = (claims[5].target, claims[5].incarnation);
-    assert_eq!(verdict.expired, [gone]);
+fn a_hold_of_one_service_does_not_affect_another() {
+    let mut holders: Vec<_> = (1..=3).map(|host| holder(1, host, 1)).collect();
+    holders.extend((4..=6).map(|host| holder(2, host, 1)));
+    let mut table = LeaseTable::with_holders(holders.clone(), ClockMillis::ORIGIN);
+    renew(&mut table, holders[3], 14_000);
+    renew(&mut table, holders[4], 14_000);
+    let decision = table.decide_expiries(ClockMillis::new(15_000));
+    assert_eq!(decision.held.len(), 1);
+    let gone = (holders[5].target, holders[5].incarnation);
+    assert_eq!(decision.expired, [gone]);
     assert_eq!(table.holds(), 1);
 }
--- a/src/control/lease/tests/measures.rs
+++ b/src/control/lease/tests/measures.rs
@@ -1,6 +1,6 @@
-//! Two ways to keep leases, at the size that the design is for.
+//! Measures two data structures for leases at the size that the design is for.
 //!
-//! A debug build runs a short form, so that the code keeps working.
+//! A debug build runs with fewer leases over a shorter time, as a smoke test.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -19,42 +19,47 @@
     100_000
 };
 /// The milliseconds between two heartbeats of one target.
-const PERIOD: u64 = 5_000;
-/// The milliseconds that are played.
-const PLAYED: u64 = if cfg!(debug_assertions) {
+const HEARTBEAT_PERIOD_MILLIS: u64 = 5_000;
+/// The simulated time in milliseconds.
+const SIMULATED_MILLIS: u64 = if cfg!(debug_assertions) {
     15_000
 } else {
     60_000
 };
 
-fn claims() -> Vec<LeaseClaim> {
-    let claim = |index: u32| LeaseClaim {
+fn holders() -> Vec<LeaseClaim> {
+    let holder = |index: u32| LeaseClaim {
         target: TargetKey::new(std::net::SocketAddrV4::new(index.into(), 7_000)),
         incarnation: IncarnationId::new(u64::from(index)),
         service: ServiceNumber::new(u16::try_from(index / 8).expect("few services")),
     };
-    (0..LEASES).map(claim).collect()
+    (0..LEASES).map(holder).collect()
 }
 
-/// The targets whose heartbeat comes at a millisecond.
+/// Returns the targets that send a heartbeat at the millisecond `now`.
 fn due_at(now: u64) -> impl Iterator<Item = usize> {
-    let first = usize::try_from(now % PERIOD).expect("small");
-    (first..LEASES as usize).step_by(usize::try_from(PERIOD).expect("small"))
+    let first = usize::try_from(now % HEARTBEAT_PERIOD_MILLIS).expect("small");
+    (first..LEASES as usize).step_by(usize::try_from(HEARTBEAT_PERIOD_MILLIS).expect("small"))
 }
 
 #[test]
 fn heap_with_lazy_renewal() {
-    let claims = claims();
-    let mut table = LeaseTable::with_claims(claims.iter().copied(), ClockMillis::ORIGIN);
+    let holders = holders();
+    let mut table = LeaseTable::with_holders(holders.iter().copied(), ClockMillis::ORIGIN);
     let (start, mut renewed) = (Instant::now(), 0_u64);
-    for now in 0..PLAYED {
+    for now in 0..SIMULATED_MILLIS {
         for index in due_at(now) {
-            let claim = claims[index];
+            let holder = holders[index];
             let at = ClockMillis::new(now);
-            renewed += u64::from(table.renew(claim.target, claim.incarnation, at));
+            renewed += u64::from(table.renew(holder.target, holder.incarnation, at));
         }
         if now % 250 == 0 {
-            assert!(table.decide(ClockMillis::new(now)).expired.is_empty());
+            assert!(
+                table
+                    .decide_expiries(ClockMillis::new(now))
+                    .expired
+                    .is_empty()
+            );
         }
     }
     report("heap", start, renewed);
@@ -62,17 +67,17 @@
 
 #[test]
 fn ordered_set_with_eager_renewal() {
-    let claims = claims();
+    let holders = holders();
     let mut deadlines = HashMap::new();
     let mut order = BTreeSet::new();
-    for claim in &claims {
-        deadlines.insert(claim.target, LEASE_MILLIS.millis());
-        order.insert((LEASE_MILLIS.millis(), claim.target));
+    for holder in &holders {
+        deadlines.insert(holder.target, LEASE_MILLIS.millis());
+        order.insert((LEASE_MILLIS.millis(), holder.target));
     }
     let (start, mut renewed) = (Instant::now(), 0_u64);
-    for now in 0..PLAYED {
+    for now in 0..SIMULATED_MILLIS {
         for index in due_at(now) {
-            let target = claims[index].target;
+            let target = holders[index].target;
             let deadline = deadlines.get_mut(&target).expect("kept");
             order.remove(&(*deadline, target));
             *deadline = now + LEASE_MILLIS.millis();
@@ -84,7 +89,7 @@
     report("ordered set", start, renewed);
 }
 
-fn report(way: &str, start: Instant, renewed: u64) {
+fn report(structure: &str, start: Instant, renewed: u64) {
     let nanos = start.elapsed().as_nanos() / u128::from(renewed);
-    println!("{way}: {nanos} ns a heartbeat over {renewed} heartbeats of {LEASES} leases");
+    println!("{structure}: {nanos} ns per heartbeat over {renewed} heartbeats of {LEASES} leases");
 }
--- a/src/control/lease/tests/mod.rs
+++ b/src/control/lease/tests/mod.rs
@@ -1,6 +1,6 @@
 //! Tests of the leases.
 
-mod following;
 mod mass_expiry;
 mod measures;
+mod registration_sync;
 mod renewal;
--- a/src/control/lease/tests/following.rs
+++ b/src/control/lease/tests/registration_sync.rs
@@ -1,4 +1,4 @@
-//! The keeper follows the committed registrations.
+//! The lease keeper follows the committed registrations.
 
 use kameo::{Actor, actor::ActorRef};
 
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test]
-async fn a_replaced_run_loses_its_lease_and_its_successor_keeps_the_own() {
+async fn a_replaced_incarnation_loses_its_lease_and_its_successor_keeps_its_own() {
     let state = StateHandle::new(ReplicaState::new());
     let keeper = LeaseKeeper::spawn(LeaseKeeper::new(state.clone(), ProcessClock::new()));
     let (old, new) = (announcement("barge", 1, 1), announcement("barge", 1, 2));
@@ -39,7 +39,7 @@
     commit(&state, &ControlCommand::Announce(old.clone()));
     assert!(renew(&keeper, &old).await);
     commit(&state, &ControlCommand::Announce(new.clone()));
-    // The new run is heard before the keeper has followed either change.
+    // The new incarnation sends a heartbeat before the keeper has synced either change.
     assert!(renew(&keeper, &new).await);
     keeper.ask(DecideLeases).await.expect("a live keeper");
     assert!(renew(&keeper, &new).await);
--- a/src/control/store/state_handle.rs
+++ b/src/control/store/state_handle.rs
@@ -29,9 +29,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum RegistrationChanges {
     /// Each change in order; none stands for a removed target.
-    Some(Vec<(TargetKey, Option<LeaseClaim>)>),
+    Incremental(Vec<(TargetKey, Option<LeaseClaim>)>),
     /// Every registration, since the changes are no longer held.
-    All(Vec<LeaseClaim>),
+    Full(Vec<LeaseClaim>),
 }
 
 impl StateHandle {
@@ -94,10 +94,10 @@
     }
 
     /// Returns the run that is registered at an address.
-    pub(crate) fn claim(&self, target: TargetKey) -> Option<LeaseClaim> {
+    pub(crate) fn lease_holder(&self, target: TargetKey) -> Option<LeaseClaim> {
         let shared = self.lock();
         let registrations = shared.replica.state().registrations();
-        registrations.target(target).map(claim_of)
+        registrations.target(target).map(lease_holder_of)
     }
 
     /// Returns the revision and what led to it since `seen`.
@@ -111,9 +111,15 @@
         let changes = match held {
             Some(changes) if seen != FeedRevision::EMPTY => {
                 let changes = changes.filter_map(|change| registration_change(&change.change));
-                RegistrationChanges::Some(changes.collect())
+                RegistrationChanges::Incremental(changes.collect())
             }
-            _ => RegistrationChanges::All(state.registrations().targets().map(claim_of).collect()),
+            _ => RegistrationChanges::Full(
+                state
+                    .registrations()
+                    .targets()
+                    .map(lease_holder_of)
+                    .collect(),
+            ),
         };
         (state.revision(), changes)
     }
@@ -123,7 +129,7 @@
     }
 }
 
-fn claim_of(route: &TargetRoute) -> LeaseClaim {
+fn lease_holder_of(route: &TargetRoute) -> LeaseClaim {
     LeaseClaim {
         target: route.key,
         incarnation: route.incarnation,
@@ -133,7 +139,7 @@
 
 fn registration_change(change: &RouteChange) -> Option<(TargetKey, Option<LeaseClaim>)> {
     match change {
-        RouteChange::TargetSet(route) => Some((route.key, Some(claim_of(route)))),
+        RouteChange::TargetSet(route) => Some((route.key, Some(lease_holder_of(route)))),
         RouteChange::TargetRemoved(target) => Some((*target, None)),
         RouteChange::ServiceSet(_) | RouteChange::ServiceRemoved(_) => None,
     }
--- a/src/control/store/tests/mod.rs
+++ b/src/control/store/tests/mod.rs
@@ -47,13 +47,13 @@
     let (state, store) = memory();
     prepare(&store).await;
     let target = announcement("barge", 1, 1).target;
-    let claim = state.claim(target).expect("registered");
+    let holder = state.lease_holder(target).expect("registered");
     let (revision, changes) = state.registration_changes(FeedRevision::new(1));
     assert_eq!(revision, FeedRevision::new(2));
-    let expected = RegistrationChanges::Some(vec![(target, Some(claim))]);
+    let expected = RegistrationChanges::Incremental(vec![(target, Some(holder))]);
     assert_eq!(changes, expected);
     let bytes = state.snapshot().expect("a state has bytes");
     state.restore(&bytes).expect("its own bytes");
     let (_, changes) = state.registration_changes(FeedRevision::new(1));
-    assert_eq!(changes, RegistrationChanges::All(vec![claim]));
+    assert_eq!(changes, RegistrationChanges::Full(vec![holder]));
 }
