--- a/src/control/feed/change_history.rs
+++ b/src/control/feed/change_history.rs
@@ -3,10 +3,10 @@
 use super::{DeltaBuilder, FeedScope};
 use crate::{control::state::FeedChange, key::FeedRevision, route::RouteDelta};
 
-/// The changes that are held for watchers.
-const MOST_CHANGES: usize = 65_536;
-/// The revisions that are held for watchers.
-const MOST_REVISIONS: usize = 65_536;
+/// Route changes kept for watchers that are behind.
+const MAX_CHANGES: usize = 65_536;
+/// Revisions kept for watchers that are behind.
+const MAX_REVISIONS: usize = 65_536;
 
 /// The changes of one revision.
 #[derive(Debug, Clone)]
@@ -15,89 +15,90 @@
     changes: Vec<FeedChange>,
 }
 
-/// The latest changes of the routes, for watchers that missed some.
+/// The most recent route changes, from which watchers catch up.
 #[derive(Debug, Clone)]
 pub(crate) struct ChangeHistory {
     floor: FeedRevision,
     revisions: VecDeque<RevisionChanges>,
-    held: usize,
-    most_changes: usize,
+    change_count: usize,
+    max_changes: usize,
 }
 
 impl ChangeHistory {
-    /// Starts a history that holds nothing up to and with `floor`.
+    /// Creates an empty history; the first change pushed belongs to the revision after `floor`.
     pub(crate) fn new(floor: FeedRevision) -> Self {
         Self {
             floor,
             revisions: VecDeque::new(),
-            held: 0,
-            most_changes: MOST_CHANGES,
+            change_count: 0,
+            max_changes: MAX_CHANGES,
         }
     }
 
-    /// Sets the most changes that are held.
+    /// Sets the maximum number of changes kept.
     #[cfg(test)]
-    pub(crate) fn with_most_changes(mut self, most_changes: usize) -> Self {
-        self.most_changes = most_changes;
+    pub(crate) fn with_max_changes(mut self, max_changes: usize) -> Self {
+        self.max_changes = max_changes;
         self
     }
 
-    /// Returns the revision that the oldest held change comes after.
+    /// Returns the revision before the oldest one kept. Watchers at it or later can be sent a
+    /// delta.
     pub(crate) fn floor(&self) -> FeedRevision {
         self.floor
     }
 
-    /// Returns the changes that are held.
+    /// Returns the number of changes kept.
     pub(crate) fn held(&self) -> usize {
-        self.held
+        self.change_count
     }
 
-    /// Adds the changes of the next revision; the oldest ones make room.
+    /// Adds the changes of the next revision, and evicts the oldest revisions if needed.
     pub(crate) fn push(&mut self, changes: Vec<FeedChange>, manifest_version: u64) {
-        self.held += changes.len();
+        self.change_count += changes.len();
         self.revisions.push_back(RevisionChanges {
             manifest_version,
             changes,
         });
-        while self.held > self.most_changes || self.revisions.len() > MOST_REVISIONS {
+        while self.change_count > self.max_changes || self.revisions.len() > MAX_REVISIONS {
             let Some(oldest) = self.revisions.pop_front() else {
                 return;
             };
-            self.held -= oldest.changes.len();
+            self.change_count -= oldest.changes.len();
             self.floor = self.floor.next();
         }
     }
 
-    /// Returns the changes after a revision, one by one.
+    /// Returns each change after a revision in order, or `None` if some were evicted.
     pub(crate) fn changes_after(
         &self,
         after: FeedRevision,
     ) -> Option<impl Iterator<Item = &FeedChange>> {
-        let skipped = self.skipped(after)?;
-        let revisions = self.revisions.range(skipped..);
+        let offset = self.offset_after(after)?;
+        let revisions = self.revisions.range(offset..);
         Some(revisions.flat_map(|revision| revision.changes.iter()))
     }
 
-    /// Returns the coalesced changes after a revision, or none if they are gone.
+    /// Returns the coalesced changes after a revision, or `None` if some were evicted.
     ///
-    /// The delta ends at the first revision that fills `byte_limit`.
+    /// The delta ends with the revision that makes it reach `byte_limit`.
     pub(crate) fn delta(
         &self,
         scope: FeedScope,
         after: FeedRevision,
         byte_limit: usize,
     ) -> Option<RouteDelta> {
-        let skipped = self.skipped(after)?;
+        let offset = self.offset_after(after)?;
         let mut builder = DeltaBuilder::new(scope);
         let mut revision = after;
         let mut manifest_version = 0;
-        for held in self.revisions.range(skipped..) {
+        for entry in self.revisions.range(offset..) {
             if builder.bytes() >= byte_limit {
                 break;
             }
-            builder.add(&held.changes);
+            builder.add(&entry.changes);
             revision = revision.next();
-            manifest_version = held.manifest_version;
+            manifest_version = entry.manifest_version;
         }
         Some(RouteDelta {
             after,
@@ -107,9 +108,9 @@
         })
     }
 
-    fn skipped(&self, after: FeedRevision) -> Option<usize> {
-        let skipped = after.count().checked_sub(self.floor.count())?;
-        let skipped = usize::try_from(skipped).ok()?;
-        (skipped <= self.revisions.len()).then_some(skipped)
+    fn offset_after(&self, after: FeedRevision) -> Option<usize> {
+        let offset = after.count().checked_sub(self.floor.count())?;
+        let offset = usize::try_from(offset).ok()?;
+        (offset <= self.revisions.len()).then_some(offset)
     }
 }
--- a/src/control/feed/delta_builder.rs
+++ b/src/control/feed/delta_builder.rs
@@ -7,19 +7,19 @@
     route::RouteChange,
 };
 
-/// The bytes of a change without its names, about.
+/// The approximate bytes of a change without its names.
 const CHANGE_BYTES: usize = 32;
-/// The bytes of a service without its names, about.
+/// The approximate bytes of a service without its names.
 const SERVICE_BYTES: usize = 48;
 
-/// What a change is about; the latest change of a subject counts.
+/// The service or target that a change replaces; only its latest change is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ChangeSubject {
     Service(ServiceNumber),
     Target(TargetKey),
 }
 
-/// Coalesces changes into the fewest that lead to the same routes.
+/// Coalesces changes into one per service and target.
 #[derive(Debug)]
 pub(super) struct DeltaBuilder<'a> {
     scope: FeedScope,
@@ -28,7 +28,7 @@
 }
 
 impl<'a> DeltaBuilder<'a> {
-    /// Starts an empty delta for watchers of `scope`.
+    /// Creates an empty delta for watchers of `scope`.
     pub(super) fn new(scope: FeedScope) -> Self {
         Self {
             scope,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Returns the packed size of the delta, about.
+    /// Returns the approximate packed size of the delta in bytes.
     pub(super) fn bytes(&self) -> usize {
         self.bytes
     }
@@ -47,7 +47,7 @@
         for change in changes {
             let subject = subject_of(&change.change);
             if let Some(earlier) = self.latest.get_mut(&subject) {
-                // Once a watcher was told of a target it must hear its end.
+                // A target already in the delta must also be updated when it leaves the scope.
                 *earlier = change;
             } else if self.scope.covers(change) {
                 self.bytes += size_of(&change.change);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns the changes: services first, then targets, removed services last.
+    /// Returns the changes, ordered as services, targets, removed services.
     pub(super) fn finish(self) -> Vec<RouteChange> {
         let mut changes = Vec::with_capacity(self.latest.len());
         let mut removed = Vec::new();
@@ -72,7 +72,8 @@
     }
 }
 
-/// Returns the change as a watcher of `scope` sees it.
+/// Translates a change for watchers of `scope`: a target that moved to another service is
+/// removed.
 fn scoped_change(scope: FeedScope, change: &FeedChange) -> RouteChange {
     match (scope, &change.change) {
         (FeedScope::Service(service), RouteChange::TargetSet(route))
--- a/src/control/feed/feed_answer.rs
+++ b/src/control/feed/feed_answer.rs
@@ -4,7 +4,7 @@
 
 use crate::key::FeedRevision;
 
-/// A reply in its JSON form, shared by all watchers that get the same one.
+/// A reply encoded as JSON once and shared by all watchers that receive it.
 #[derive(Debug, Clone)]
 pub(crate) struct EncodedReply {
     /// The JSON text.
@@ -18,13 +18,13 @@
     }
 }
 
-/// What the feed has for a watcher right now.
+/// What the feed currently has for a watcher.
 #[derive(Debug, Clone)]
 pub(crate) enum FeedAnswer {
-    /// Nothing that the watcher wants came after its revision.
+    /// Nothing in the watcher's scope changed up to this revision.
     Unchanged(FeedRevision),
     /// A delta or a snapshot.
     News(EncodedReply),
-    /// The watcher has seen a newer state than this replica holds.
+    /// This replica's state is older than the watcher's.
     Behind,
 }
--- a/src/control/feed/feed_signals.rs
+++ b/src/control/feed/feed_notifier.rs
@@ -8,15 +8,15 @@
     key::{FeedRevision, ServiceNumber},
 };
 
-/// Wakes the watchers that a change concerns, and no others.
+/// Wakes only the watchers whose scope a change affects.
 #[derive(Debug)]
-pub(crate) struct FeedSignals {
+pub(crate) struct FeedNotifier {
     all: watch::Sender<FeedRevision>,
     services: HashMap<ServiceNumber, watch::Sender<FeedRevision>>,
 }
 
-impl FeedSignals {
-    /// Starts without watchers.
+impl FeedNotifier {
+    /// Creates a notifier without watchers.
     pub(crate) fn new(revision: FeedRevision) -> Self {
         Self {
             all: watch::Sender::new(revision),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Returns a receiver that changes when news for `scope` may be there.
+    /// Returns a receiver that is notified when `scope` may have changed.
     pub(crate) fn subscribe(&mut self, scope: FeedScope) -> watch::Receiver<FeedRevision> {
         match scope {
             FeedScope::All => self.all.subscribe(),
@@ -36,20 +36,20 @@
         }
     }
 
-    /// Wakes the watchers of the services that `changes` concern.
-    pub(crate) fn announce(&mut self, revision: FeedRevision, changes: &[FeedChange]) {
+    /// Wakes the watchers of all services, and those of the services that `changes` affect.
+    pub(crate) fn notify(&mut self, revision: FeedRevision, changes: &[FeedChange]) {
         self.all.send_replace(revision);
         let services: BTreeSet<ServiceNumber> = changes
             .iter()
             .flat_map(|change| std::iter::once(change.service).chain(change.previous_service))
             .collect();
         for service in services {
-            self.announce_service(revision, service);
+            self.notify_service(revision, service);
         }
     }
 
     /// Wakes every watcher.
-    pub(crate) fn announce_all(&mut self, revision: FeedRevision) {
+    pub(crate) fn notify_all(&mut self, revision: FeedRevision) {
         self.all.send_replace(revision);
         self.services.retain(|_, sender| {
             sender.send_replace(revision);
@@ -57,7 +57,7 @@
         });
     }
 
-    fn announce_service(&mut self, revision: FeedRevision, service: ServiceNumber) {
+    fn notify_service(&mut self, revision: FeedRevision, service: ServiceNumber) {
         let Some(sender) = self.services.get(&service) else {
             return;
         };
--- a/src/control/feed/feed_scope.rs
+++ b/src/control/feed/feed_scope.rs
@@ -1,7 +1,7 @@
 use super::super::state::FeedChange;
 use crate::key::ServiceNumber;
 
-/// The part of the routes that a reply covers.
+/// The part of the routes that a watcher follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum FeedScope {
     /// Every service.
@@ -11,11 +11,11 @@
 }
 
 impl FeedScope {
-    /// Returns whether a watcher of this scope must hear of `change`.
+    /// Returns whether `change` affects this scope.
     pub(crate) fn covers(self, change: &FeedChange) -> bool {
         match self {
             Self::All => true,
-            Self::Service(service) => change.concerns(service),
+            Self::Service(service) => change.affects(service),
         }
     }
 }
--- a/src/control/feed/mod.rs
+++ b/src/control/feed/mod.rs
@@ -1,10 +1,10 @@
-//! The feed: what watchers of the routes are told, and how fast.
+//! The feed that sends route changes to watchers, within a byte budget for each.
 
 mod change_history;
 mod delta_builder;
 mod feed_answer;
+mod feed_notifier;
 mod feed_scope;
-mod feed_signals;
 mod replica_state;
 mod reply_cache;
 mod watcher_budget;
@@ -12,8 +12,8 @@
 
 pub(crate) use change_history::ChangeHistory;
 pub(crate) use feed_answer::{EncodedReply, FeedAnswer};
+pub(crate) use feed_notifier::FeedNotifier;
 pub(crate) use feed_scope::FeedScope;
-pub(crate) use feed_signals::FeedSignals;
 pub(crate) use replica_state::ReplicaState;
 pub(crate) use watcher_budget::WatcherBudget;
 pub(crate) use watcher_table::WatcherTable;
--- a/src/control/feed/replica_state.rs
+++ b/src/control/feed/replica_state.rs
@@ -10,10 +10,10 @@
     route::{RouteDelta, RouteSnapshot},
 };
 
-/// The packed bytes at which a delta ends; the watcher asks for the rest.
+/// The approximate packed bytes at which a delta ends; the watcher requests the rest.
 const DELTA_BYTES: usize = 3 * 1_024;
 
-/// The agreed state of one replica with the history that its feed serves.
+/// The replicated state of one replica, with the recent changes that its feed serves.
 #[derive(Debug)]
 pub(crate) struct ReplicaState {
     state: ControlState,
@@ -22,12 +22,12 @@
 }
 
 impl ReplicaState {
-    /// Creates the state before the first command.
+    /// Creates the initial state.
     pub(crate) fn new() -> Self {
         Self::with_state(ControlState::new())
     }
 
-    /// Starts with a state whose earlier changes are gone.
+    /// Wraps a state with an empty history.
     pub(crate) fn with_state(state: ControlState) -> Self {
         Self {
             history: ChangeHistory::new(state.revision()),
@@ -36,24 +36,24 @@
         }
     }
 
-    /// Replaces the history, to bound it otherwise.
+    /// Replaces the history, so that a test can limit it.
     #[cfg(test)]
     pub(crate) fn with_history(mut self, history: ChangeHistory) -> Self {
         self.history = history;
         self
     }
 
-    /// Returns the agreed state.
+    /// Returns the replicated state.
     pub(crate) fn state(&self) -> &ControlState {
         &self.state
     }
 
-    /// Returns the changes that the feed holds.
+    /// Returns the recent changes.
     pub(crate) fn history(&self) -> &ChangeHistory {
         &self.history
     }
 
-    /// Executes one committed command and remembers what it changed.
+    /// Executes one committed command and records its changes.
     pub(crate) fn apply(&mut self, command: &[u8]) -> StateTransition {
         let transition = self.state.apply(command);
         if transition.effective {
@@ -64,18 +64,20 @@
         transition
     }
 
-    /// Returns the agreed state as bytes.
+    /// Encodes the replicated state as a snapshot.
     pub(crate) fn snapshot(&self) -> Result<Vec<u8>, StateError> {
         self.state.snapshot()
     }
 
-    /// Takes over the state of a snapshot; the history starts anew.
+    /// Replaces the state with that of a snapshot and empties the history.
     pub(crate) fn restore(&mut self, bytes: &[u8]) -> Result<(), StateError> {
         *self = Self::with_state(ControlState::restore(bytes)?);
         Ok(())
     }
 
-    /// Returns the scope that a watcher names.
+    /// Resolves the scope that a watcher requested.
+    ///
+    /// Fails for a service name that was never in a manifest.
     pub(crate) fn scope(&self, scope: &WatchScope) -> Result<FeedScope, CallRefusal> {
         match scope {
             WatchScope::All => Ok(FeedScope::All),
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Returns what came after the revision in force at a watcher.
+    /// Returns the reply for a watcher whose routes are at revision `in_force`.
     pub(crate) fn answer(&mut self, scope: FeedScope, in_force: FeedRevision) -> FeedAnswer {
         let revision = self.state.revision();
         if in_force > revision {
@@ -100,15 +102,15 @@
         if in_force == FeedRevision::EMPTY {
             return FeedAnswer::News(self.encoded_snapshot(scope));
         }
-        if let Some(reply) = self.cache.find(scope, Some(in_force)) {
+        if let Some(reply) = self.cache.get(scope, Some(in_force)) {
             return FeedAnswer::News(reply);
         }
         match self.history.delta(scope, in_force, DELTA_BYTES) {
             None => FeedAnswer::News(self.encoded_snapshot(scope)),
-            Some(delta) if is_idle(scope, &delta) => FeedAnswer::Unchanged(delta.revision),
+            Some(delta) if is_noop_for(scope, &delta) => FeedAnswer::Unchanged(delta.revision),
             Some(delta) => {
-                let reply = encode(&FeedReply::Delta(delta));
-                self.cache.keep(scope, Some(in_force), &reply);
+                let reply = encode_reply(&FeedReply::Delta(delta));
+                self.cache.insert(scope, Some(in_force), &reply);
                 FeedAnswer::News(reply)
             }
         }
@@ -137,24 +139,25 @@
     }
 
     fn encoded_snapshot(&mut self, scope: FeedScope) -> EncodedReply {
-        if let Some(reply) = self.cache.find(scope, None) {
+        if let Some(reply) = self.cache.get(scope, None) {
             return reply;
         }
         let snapshot = self.routes(scope);
-        let reply = encode(&FeedReply::Snapshot(snapshot));
-        self.cache.keep(scope, None, &reply);
+        let reply = encode_reply(&FeedReply::Snapshot(snapshot));
+        self.cache.insert(scope, None, &reply);
         reply
     }
 }
 
-/// Returns whether a delta tells its watcher nothing.
+/// Returns whether a delta changes nothing for watchers of `scope`.
 ///
-/// A new manifest version counts for watchers of everything, since they report it.
-fn is_idle(scope: FeedScope, delta: &RouteDelta) -> bool {
+/// Watchers of all services are also sent an empty delta, since they report the manifest
+/// version in it.
+fn is_noop_for(scope: FeedScope, delta: &RouteDelta) -> bool {
     matches!(scope, FeedScope::Service(_)) && delta.changes.is_empty()
 }
 
-fn encode(reply: &FeedReply) -> EncodedReply {
+fn encode_reply(reply: &FeedReply) -> EncodedReply {
     let text = serde_json::value::to_raw_value(reply).expect("routes always have a JSON form");
     EncodedReply {
         text: Arc::from(text),
--- a/src/control/feed/reply_cache.rs
+++ b/src/control/feed/reply_cache.rs
@@ -3,18 +3,18 @@
 use super::{EncodedReply, FeedScope};
 use crate::key::FeedRevision;
 
-/// The replies that are kept for further watchers.
-const MOST_REPLIES: usize = 256;
+/// Replies cached at most.
+const MAX_REPLIES: usize = 256;
 
-/// Encoded replies of the current revision; a new revision empties it.
+/// Caches the encoded replies of the current revision; each new revision clears it.
 #[derive(Debug, Default)]
 pub(super) struct ReplyCache {
     replies: BTreeMap<(FeedScope, Option<FeedRevision>), EncodedReply>,
 }
 
 impl ReplyCache {
-    /// Returns the reply after a revision, or the snapshot for none.
-    pub(super) fn find(
+    /// Returns the cached delta after a revision, or the cached snapshot if `after` is `None`.
+    pub(super) fn get(
         &self,
         scope: FeedScope,
         after: Option<FeedRevision>,
@@ -22,19 +22,19 @@
         self.replies.get(&(scope, after)).cloned()
     }
 
-    /// Keeps a reply while there is room.
-    pub(super) fn keep(
+    /// Adds a reply unless the cache is full.
+    pub(super) fn insert(
         &mut self,
         scope: FeedScope,
         after: Option<FeedRevision>,
         reply: &EncodedReply,
     ) {
-        if self.replies.len() < MOST_REPLIES {
+        if self.replies.len() < MAX_REPLIES {
             self.replies.insert((scope, after), reply.clone());
         }
     }
 
-    /// Drops every reply.
+    /// Removes all replies.
     pub(super) fn clear(&mut self) {
         self.replies.clear();
     }
--- a/src/control/feed/tests/budget.rs
+++ b/src/control/feed/tests/budget.rs
@@ -16,13 +16,13 @@
 };
 
 #[test]
-fn a_watcher_that_was_quiet_gets_its_first_reply_at_once() {
+fn a_new_watcher_gets_its_first_reply_at_once() {
     let now = ClockMillis::new(5);
     assert_eq!(WatcherBudget::new(now).pause(now), SpanMillis::ZERO);
 }
 
 #[test]
-fn a_snapshot_never_holds_up_the_next_change_for_more_than_two_seconds() {
+fn a_snapshot_delays_the_next_change_by_at_most_two_seconds() {
     let now = ClockMillis::new(5);
     let mut budget = WatcherBudget::new(now);
     budget.charge(6_000_000, now);
@@ -33,7 +33,7 @@
     #![proptest_config(fixed_cases(256, 41))]
 
     #[test]
-    fn small_replies_stay_within_the_budget_over_any_time(
+    fn small_replies_stay_within_the_budget(
         sizes in prop::collection::vec(1_usize..3_000, 20..80),
     ) {
         let mut now = ClockMillis::ORIGIN;
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn five_hundred_missed_changes_arrive_within_seven_seconds_and_the_budget() {
+fn five_hundred_missed_changes_arrive_within_seven_seconds_and_within_the_budget() {
     let mut replica = ReplicaState::new();
     let apply = |replica: &mut ReplicaState, command: ControlCommand| {
         replica.apply(&command.encode().expect("a command has bytes"));
--- a/src/control/feed/tests/convergence.rs
+++ b/src/control/feed/tests/convergence.rs
@@ -1,4 +1,4 @@
-//! Deltas from any point lead to the same routes as a snapshot.
+//! Deltas from any revision lead to the same routes as a snapshot.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
     route::{RouteChange, RouteDelta, RouteSnapshot, ServiceRoute, TargetRoute},
 };
 
-/// The routes as a watcher holds them.
+/// The routes that a watcher has received.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 struct WatchedRoutes {
     services: BTreeMap<ServiceNumber, ServiceRoute>,
@@ -58,7 +58,7 @@
     ]
 }
 
-/// Asks until nothing is left, as a watcher does; returns the replies.
+/// Requests replies until the watcher is up to date; returns their number.
 fn catch_up(
     replica: &mut ReplicaState,
     scope: FeedScope,
@@ -96,19 +96,19 @@
     #![proptest_config(fixed_cases(256, 31))]
 
     #[test]
-    fn a_watcher_that_looks_in_now_and_then_holds_what_a_snapshot_shows(
+    fn a_watcher_that_polls_at_times_ends_with_the_routes_of_a_snapshot(
         commands in any_commands(60),
         scope in any_scope(),
-        looks in prop::collection::vec(any::<bool>(), 60),
-        most_changes in 1_usize..30,
+        polls in prop::collection::vec(any::<bool>(), 60),
+        max_changes in 1_usize..30,
     ) {
-        let history = ChangeHistory::new(FeedRevision::EMPTY).with_most_changes(most_changes);
+        let history = ChangeHistory::new(FeedRevision::EMPTY).with_max_changes(max_changes);
         let mut replica = ReplicaState::new().with_history(history);
         let mut routes = WatchedRoutes::default();
         let mut in_force = FeedRevision::EMPTY;
-        for (command, look) in commands.iter().zip(looks) {
+        for (command, poll) in commands.iter().zip(polls) {
             replica.apply(&command.encode().expect("a command has bytes"));
-            if look {
+            if poll {
                 catch_up(&mut replica, scope, &mut routes, &mut in_force);
             }
         }
@@ -118,7 +118,7 @@
     }
 
     #[test]
-    fn a_delta_cut_anywhere_leads_to_the_same_routes(
+    fn deltas_of_any_byte_limit_lead_to_the_same_routes(
         commands in any_commands(60),
         scope in any_scope(),
         start in 0_usize..60,
@@ -145,22 +145,22 @@
     }
 
     #[test]
-    fn a_restored_replica_serves_watchers_of_the_former_one(
+    fn a_restored_replica_serves_watchers_of_the_original_one(
         commands in any_commands(40),
         scope in any_scope(),
-        cut in 0_usize..40,
+        restored_at in 0_usize..40,
     ) {
         let mut replica = ReplicaState::new();
         let mut routes = WatchedRoutes::default();
         let mut in_force = FeedRevision::EMPTY;
-        let cut = cut.min(commands.len());
-        for command in &commands[..cut] {
+        let restored_at = restored_at.min(commands.len());
+        for command in &commands[..restored_at] {
             replica.apply(&command.encode().expect("a command has bytes"));
         }
         catch_up(&mut replica, scope, &mut routes, &mut in_force);
         let mut other = ReplicaState::new();
         other.restore(&replica.snapshot().expect("bytes")).expect("its own bytes");
-        for command in &commands[cut..] {
+        for command in &commands[restored_at..] {
             other.apply(&command.encode().expect("a command has bytes"));
         }
         catch_up(&mut other, scope, &mut routes, &mut in_force);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_replica_never_answers_below_what_the_watcher_has() {
+fn a_replica_older_than_the_watcher_reports_that_it_is_behind() {
     let mut replica = ReplicaState::new();
     let answer = replica.answer(FeedScope::All, FeedRevision::new(1));
     assert!(matches!(answer, FeedAnswer::Behind));
--- a/src/control/feed/watcher_budget.rs
+++ b/src/control/feed/watcher_budget.rs
@@ -1,54 +1,61 @@
 use crate::clock::{ClockMillis, SpanMillis};
 
-/// The bytes a second that a watcher is sent on average.
-pub(crate) const BYTES_A_SECOND: u64 = 3_000;
-/// The unused bytes that a watcher may save up.
-const MOST_SAVED: i64 = 21_000;
-/// The bytes that a large reply may overdraw at most.
-const MOST_OWED: i64 = 5_400;
-/// The bytes of headers around each request and reply.
-const FRAME_BYTES: usize = 900;
+/// The average bytes per second sent to a watcher.
+pub(crate) const BYTES_PER_SECOND: u64 = 3_000;
+/// The capacity of the bucket.
+const BURST_BYTES: i64 = 21_000;
+/// The largest debt that a reply can leave.
+const MAX_DEBT_BYTES: i64 = 5_400;
+/// The bytes of headers counted for each request and its reply.
+const OVERHEAD_BYTES: usize = 900;
 
 /// A token bucket in bytes that spaces the replies to one watcher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct WatcherBudget {
-    saved: i64,
-    at: ClockMillis,
+    balance_bytes: i64,
+    refilled_at: ClockMillis,
 }
 
 impl WatcherBudget {
-    /// Starts with all that may be saved up.
+    /// Creates a full bucket.
     pub(crate) fn new(now: ClockMillis) -> Self {
         Self {
-            saved: MOST_SAVED,
-            at: now,
+            balance_bytes: BURST_BYTES,
+            refilled_at: now,
         }
     }
 
     /// Returns how long the next reply has to wait.
     pub(crate) fn pause(&mut self, now: ClockMillis) -> SpanMillis {
         self.refill(now);
-        let owed = u64::try_from(-self.saved).unwrap_or(0);
-        SpanMillis::new((owed * 1_000).div_ceil(BYTES_A_SECOND))
+        let debt = u64::try_from(-self.balance_bytes).unwrap_or(0);
+        SpanMillis::new((debt * 1_000).div_ceil(BYTES_PER_SECOND))
     }
 
-    /// Counts a reply of `bytes` with the headers around it.
+    /// Charges a reply of `bytes` plus `OVERHEAD_BYTES`.
     ///
-    /// What goes beyond the allowed debt is forgiven, so that one snapshot
-    /// can't hold up later changes for minutes.
+    /// Debt beyond `MAX_DEBT_BYTES` is not counted, so that one snapshot can't delay later
+    /// changes for minutes.
     pub(crate) fn charge(&mut self, bytes: usize, now: ClockMillis) {
         self.refill(now);
-        let bytes = i64::try_from(bytes + FRAME_BYTES).unwrap_or(i64::MAX);
-        self.saved = self.saved.saturating_sub(bytes).max(-MOST_OWED);
+        let bytes = i64::try_from(bytes + OVERHEAD_BYTES).unwrap_or(i64::MAX);
+        self.balance_bytes = self
+            .balance_bytes
+            .saturating_sub(bytes)
+            .max(-MAX_DEBT_BYTES);
     }
 
     fn refill(&mut self, now: ClockMillis) {
-        let earned = now.since(self.at).millis().saturating_mul(BYTES_A_SECOND) / 1_000;
-        if earned == 0 {
+        let accrued = now
+            .since(self.refilled_at)
+            .millis()
+            .saturating_mul(BYTES_PER_SECOND)
+            / 1_000;
+        if accrued == 0 {
             return;
         }
-        let earned = i64::try_from(earned).unwrap_or(i64::MAX);
-        self.saved = self.saved.saturating_add(earned).min(MOST_SAVED);
-        self.at = now;
+        let accrued = i64::try_from(accrued).unwrap_or(i64::MAX);
+        self.balance_bytes = self.balance_bytes.saturating_add(accrued).min(BURST_BYTES);
+        self.refilled_at = now;
     }
 }
--- a/src/control/feed/watcher_table.rs
+++ b/src/control/feed/watcher_table.rs
@@ -7,57 +7,57 @@
     key::{DomainName, FeedRevision},
 };
 
-/// The watchers that are remembered at once.
-const MOST_WATCHERS: usize = 131_072;
-/// The silence after which a watcher may be forgotten.
-const FORGET_MILLIS: SpanMillis = SpanMillis::new(600_000);
-/// The time between two searches for silent watchers.
-const SWEEP_MILLIS: SpanMillis = SpanMillis::new(10_000);
+/// Watchers tracked at most.
+const MAX_WATCHERS: usize = 131_072;
+/// The time since its last call after which a watcher may be evicted.
+const EVICT_AFTER_MILLIS: SpanMillis = SpanMillis::new(600_000);
+/// The minimum time between two evictions of silent watchers.
+const EVICTION_INTERVAL_MILLIS: SpanMillis = SpanMillis::new(10_000);
 
-/// What is known of one watcher.
+/// The state of one watcher.
 #[derive(Debug)]
 struct WatcherRecord {
     domain: DomainName,
     in_force: FeedRevision,
-    heard: ClockMillis,
+    last_call_at: ClockMillis,
     budget: WatcherBudget,
 }
 
-/// Who watches the feed of this replica, and how far each has come.
+/// The watchers of this replica's feed, with their revisions and byte budgets.
 #[derive(Debug)]
 pub(crate) struct WatcherTable {
     records: HashMap<WatcherName, WatcherRecord>,
-    swept: ClockMillis,
-    most: usize,
+    last_eviction_at: ClockMillis,
+    max_watchers: usize,
 }
 
 impl WatcherTable {
-    /// Starts without watchers.
+    /// Creates an empty table.
     pub(crate) fn new() -> Self {
         Self {
             records: HashMap::new(),
-            swept: ClockMillis::ORIGIN,
-            most: MOST_WATCHERS,
+            last_eviction_at: ClockMillis::ORIGIN,
+            max_watchers: MAX_WATCHERS,
         }
     }
 
-    /// Sets the most watchers that are remembered.
+    /// Sets the maximum number of watchers.
     #[cfg(test)]
-    pub(crate) fn with_most(mut self, most: usize) -> Self {
-        self.most = most;
+    pub(crate) fn with_max_watchers(mut self, max_watchers: usize) -> Self {
+        self.max_watchers = max_watchers;
         self
     }
 
-    /// Returns the watchers that are remembered.
+    /// Returns the number of watchers.
     pub(crate) fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Notes a call of a watcher.
+    /// Records a call of a watcher.
     ///
     /// # Errors
     ///
-    /// Refuses a new watcher when too many are remembered.
+    /// Refuses a new watcher when the table is full.
     pub(crate) fn hear(
         &mut self,
         name: &WatcherName,
@@ -67,68 +67,68 @@
     ) -> Result<(), CallRefusal> {
         if let Some(record) = self.records.get_mut(name) {
             record.in_force = in_force;
-            record.heard = now;
+            record.last_call_at = now;
             if record.domain != *domain {
                 record.domain = domain.clone();
             }
             return Ok(());
         }
-        if self.records.len() >= self.most {
-            self.sweep(now);
+        if self.records.len() >= self.max_watchers {
+            self.evict_silent(now);
         }
-        if self.records.len() >= self.most {
+        if self.records.len() >= self.max_watchers {
             return Err(CallRefusal::Overloaded {
-                retry_after_millis: SWEEP_MILLIS.millis(),
+                retry_after_millis: EVICTION_INTERVAL_MILLIS.millis(),
             });
         }
         let record = WatcherRecord {
             domain: domain.clone(),
             in_force,
-            heard: now,
+            last_call_at: now,
             budget: WatcherBudget::new(now),
         };
         self.records.insert(name.clone(), record);
         Ok(())
     }
 
-    /// Returns how long the next reply to a watcher has to wait.
+    /// Returns how long the next reply to a watcher must wait for its budget.
     pub(crate) fn pause(&mut self, name: &WatcherName, now: ClockMillis) -> SpanMillis {
         self.records
             .get_mut(name)
             .map_or(SpanMillis::ZERO, |record| record.budget.pause(now))
     }
 
-    /// Counts a reply to a watcher.
+    /// Charges a reply to the budget of a watcher.
     pub(crate) fn charge(&mut self, name: &WatcherName, bytes: usize, now: ClockMillis) {
         if let Some(record) = self.records.get_mut(name) {
             record.budget.charge(bytes, now);
         }
     }
 
-    /// Returns up to `most` watchers, those that lag furthest first.
-    pub(crate) fn laggards(&self, most: usize, now: ClockMillis) -> Vec<WatcherStatus> {
+    /// Returns up to `limit` watchers, lowest revision first.
+    pub(crate) fn laggards(&self, limit: usize, now: ClockMillis) -> Vec<WatcherStatus> {
         let mut records: Vec<_> = self.records.iter().collect();
         records.sort_by(|(name, record), (other_name, other)| {
             let order = record.in_force.cmp(&other.in_force);
             order.then_with(|| name.cmp(other_name))
         });
-        let shown = records.into_iter().take(most);
-        shown
+        let laggards = records.into_iter().take(limit);
+        laggards
             .map(|(name, record)| WatcherStatus {
                 name: name.clone(),
                 domain: record.domain.clone(),
                 in_force: record.in_force,
-                silent_millis: now.since(record.heard).millis(),
+                silent_millis: now.since(record.last_call_at).millis(),
             })
             .collect()
     }
 
-    fn sweep(&mut self, now: ClockMillis) {
-        if now.since(self.swept) < SWEEP_MILLIS {
+    fn evict_silent(&mut self, now: ClockMillis) {
+        if now.since(self.last_eviction_at) < EVICTION_INTERVAL_MILLIS {
             return;
         }
-        self.swept = now;
+        self.last_eviction_at = now;
         self.records
-            .retain(|_, record| now.since(record.heard) < FORGET_MILLIS);
+            .retain(|_, record| now.since(record.last_call_at) < EVICT_AFTER_MILLIS);
     }
 }
--- a/src/control/state/state_transition.rs
+++ b/src/control/state/state_transition.rs
@@ -30,7 +30,7 @@
     }
 
     /// Returns whether the change affects `service`.
-    pub(crate) fn concerns(&self, service: ServiceNumber) -> bool {
+    pub(crate) fn affects(&self, service: ServiceNumber) -> bool {
         self.service == service || self.previous_service == Some(service)
     }
 }
--- a/src/control/state/tests/sequences.rs
+++ b/src/control/state/tests/sequences.rs
@@ -24,17 +24,17 @@
     #[test]
     fn a_restored_state_is_equal_and_executes_commands_alike(
         commands in any_commands(40),
-        cut in 0_usize..40,
+        snapshot_at in 0_usize..40,
     ) {
         let mut state = ControlState::new();
-        let cut = cut.min(commands.len());
-        for command in &commands[..cut] {
+        let snapshot_at = snapshot_at.min(commands.len());
+        for command in &commands[..snapshot_at] {
             execute(&mut state, command);
         }
         let bytes = state.snapshot().expect("a state has bytes");
         let mut restored = ControlState::restore(&bytes).expect("its own bytes");
         prop_assert_eq!(&restored, &state);
-        for command in &commands[cut..] {
+        for command in &commands[snapshot_at..] {
             let transition = execute(&mut state, command);
             prop_assert_eq!(execute(&mut restored, command), transition);
         }
--- a/src/control/store/control_store.rs
+++ b/src/control/store/control_store.rs
@@ -12,27 +12,27 @@
     key::FeedRevision,
 };
 
-/// Orders commands and confirms reads; each form of control has its own.
+/// Commits commands and confirms reads.
 #[derive(Debug, Clone)]
 pub(crate) enum ControlStore {
-    /// A single replica without a log.
+    /// A single replica without a log, for tests.
     #[cfg(test)]
     Memory(MemoryStore),
-    /// A replica of the replicated log.
+    /// A replica of the control group.
     Replicated(ReplicaHandle),
 }
 
 impl ControlStore {
-    /// Commits a command and returns what became of it.
+    /// Commits a command and returns its outcome.
     ///
     /// # Errors
     ///
-    /// Fails when this replica can't commit, or can't tell whether it did.
+    /// Fails when this replica can't commit, or does not know whether the command was committed.
     pub(crate) async fn propose(
         &self,
         command: &ControlCommand,
     ) -> Result<ControlOutcome, CallRefusal> {
-        // A command that can't be encoded was never sent anywhere.
+        // A command that can't be encoded was not proposed, so it is surely not committed.
         let bytes = command.encode().map_err(|_| CallRefusal::NoQuorum)?;
         let outcome = match self {
             #[cfg(test)]
@@ -42,13 +42,12 @@
         ControlOutcome::decode(&outcome).map_err(|_| CallRefusal::OutcomeUnknown)
     }
 
-    /// Returns the revision up to which this replica is known to be current.
-    ///
-    /// The state holds everything that was committed before the call.
+    /// Confirms that the state includes everything committed before the call, and returns its
+    /// revision.
     ///
     /// # Errors
     ///
-    /// Fails when no majority confirms it.
+    /// Fails when no majority confirms the read.
     pub(crate) async fn confirm_read(&self) -> Result<FeedRevision, CallRefusal> {
         match self {
             #[cfg(test)]
@@ -57,7 +56,7 @@
         }
     }
 
-    /// Returns what this replica knows of the leader.
+    /// Returns this replica's view of the leader.
     pub(crate) fn lead(&self) -> LeadView {
         match self {
             #[cfg(test)]
@@ -66,7 +65,7 @@
         }
     }
 
-    /// Returns the replicas of the group; `address` is this one's.
+    /// Returns the status of the group's replicas; `address` is that of this one.
     pub(crate) fn replicas(&self, address: SocketAddrV4) -> Vec<ReplicaStatus> {
         match self {
             #[cfg(test)]
--- a/src/control/store/lead_view.rs
+++ b/src/control/store/lead_view.rs
@@ -1,6 +1,6 @@
 use std::net::SocketAddrV4;
 
-/// What a replica knows of the group's leader.
+/// A replica's view of the group's leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LeadView {
     /// This replica leads in the given term.
@@ -8,7 +8,7 @@
         /// The term; it grows with each election.
         term: u64,
     },
-    /// Another replica leads, or none is known.
+    /// Another replica leads, or no leader is known.
     Following {
         /// The leader's call address, if known.
         leader: Option<SocketAddrV4>,
--- a/src/control/store/memory_store.rs
+++ b/src/control/store/memory_store.rs
@@ -6,7 +6,7 @@
 use super::StateHandle;
 use crate::{control::api::CallRefusal, key::FeedRevision};
 
-/// A group of a single replica that keeps its state in memory only.
+/// A group of a single replica that keeps its state in memory.
 #[derive(Debug, Clone)]
 pub(crate) struct MemoryStore {
     state: StateHandle,
@@ -14,7 +14,7 @@
 }
 
 impl MemoryStore {
-    /// Orders commands for `state`.
+    /// Creates a store that executes commands on `state`.
     pub(crate) fn new(state: StateHandle) -> Self {
         Self {
             state,
@@ -22,18 +22,18 @@
         }
     }
 
-    /// Plays the part of a replica that hears nothing of the others.
+    /// Makes every later call fail, as if this replica had lost its connections to the others.
     pub(crate) fn cut_off(&self) {
         self.is_cut_off.store(true, Ordering::Relaxed);
     }
 
-    /// Commits and executes a command at once.
+    /// Executes a command at once and returns its encoded outcome.
     pub(crate) fn propose(&self, command: &[u8]) -> Result<Vec<u8>, CallRefusal> {
         self.confirm_read()?;
         Ok(self.state.apply(command))
     }
 
-    /// Returns the newest revision, unless this replica is cut off.
+    /// Returns the revision of the state, unless this replica is cut off.
     pub(crate) fn confirm_read(&self) -> Result<FeedRevision, CallRefusal> {
         if self.is_cut_off.load(Ordering::Relaxed) {
             return Err(CallRefusal::NoQuorum);
--- a/src/control/store/mod.rs
+++ b/src/control/store/mod.rs
@@ -1,4 +1,5 @@
-//! The seam between the calls and the state: who orders commands, who reads.
+//! The interface between the calls and the replicated state: proposing commands, confirming
+//! reads and accessing the state.
 
 mod control_store;
 mod lead_view;
--- a/src/control/store/read_confirmer.rs
+++ b/src/control/store/read_confirmer.rs
@@ -6,48 +6,48 @@
 use super::ControlStore;
 use crate::{clock::SpanMillis, control::api::CallRefusal, key::FeedRevision};
 
-/// The time within which a majority has to confirm.
+/// The timeout of one confirmation by a majority.
 const CONFIRM_MILLIS: SpanMillis = SpanMillis::new(1_000);
-/// The time between two confirmations while nobody asks.
+/// The time between two confirmations without requests.
 const IDLE_MILLIS: SpanMillis = SpanMillis::new(1_000);
-/// The askers that wait for one confirmation.
-const MOST_ASKERS: usize = 32_768;
+/// Reads that can wait for the next confirmation; further ones are refused.
+const MAX_PENDING_READS: usize = 32_768;
 
 type Confirmation = Result<FeedRevision, CallRefusal>;
 
-/// Confirms reads for many askers with one round to the majority.
+/// Confirms many reads at once with one round trip to a majority.
 ///
-/// While nobody asks it goes on confirming, so that waiting watchers of a
-/// replica that was cut off are told and can go elsewhere.
+/// It also confirms without requests, so that watchers waiting at a replica that lost the
+/// majority notice it and can turn to another one.
 #[derive(Debug, Clone)]
 pub(crate) struct ReadConfirmer {
-    askers: mpsc::Sender<oneshot::Sender<Confirmation>>,
+    requests: mpsc::Sender<oneshot::Sender<Confirmation>>,
     current: watch::Receiver<bool>,
 }
 
 impl ReadConfirmer {
-    /// Starts confirming; it must be called within the runtime.
+    /// Spawns the confirming task; must be called within a Tokio runtime.
     pub(crate) fn start(store: ControlStore) -> Self {
-        let (askers, asked) = mpsc::channel(MOST_ASKERS);
+        let (requests, receiver) = mpsc::channel(MAX_PENDING_READS);
         let (sender, current) = watch::channel(true);
-        tokio::spawn(confirm_reads(store, asked, sender));
-        Self { askers, current }
+        tokio::spawn(confirm_reads(store, receiver, sender));
+        Self { requests, current }
     }
 
-    /// Returns the revision up to which this replica was current after the call.
+    /// Waits for a confirmation that starts after the call; returns the confirmed revision.
     ///
     /// # Errors
     ///
-    /// Refuses when no majority confirmed it in time.
+    /// Fails when no majority confirms in time, or when too many reads wait.
     pub(crate) async fn confirm(&self) -> Confirmation {
         let (sender, receiver) = oneshot::channel();
-        self.askers
+        self.requests
             .try_send(sender)
             .map_err(|_| CallRefusal::NoQuorum)?;
         receiver.await.unwrap_or(Err(CallRefusal::NoQuorum))
     }
 
-    /// Returns a receiver that turns false when this replica is cut off.
+    /// Returns a receiver of whether the last confirmation succeeded; true before the first.
     pub(crate) fn current(&self) -> watch::Receiver<bool> {
         self.current.clone()
     }
@@ -55,15 +55,15 @@
 
 async fn confirm_reads(
     store: ControlStore,
-    mut asked: mpsc::Receiver<oneshot::Sender<Confirmation>>,
+    mut receiver: mpsc::Receiver<oneshot::Sender<Confirmation>>,
     current: watch::Sender<bool>,
 ) {
     let mut idle = interval(IDLE_MILLIS.duration());
     idle.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut askers = Vec::new();
+    let mut requests = Vec::new();
     loop {
         tokio::select! {
-            count = asked.recv_many(&mut askers, MOST_ASKERS) => {
+            count = receiver.recv_many(&mut requests, MAX_PENDING_READS) => {
                 if count == 0 {
                     return;
                 }
@@ -77,9 +77,9 @@
             let is = confirmation.is_ok();
             std::mem::replace(was, is) != is
         });
-        for asker in askers.drain(..) {
-            // An asker that went away needs no answer.
-            let _ = asker.send(confirmation.clone());
+        for request in requests.drain(..) {
+            // The caller may have stopped waiting.
+            let _ = request.send(confirmation.clone());
         }
     }
 }
--- a/src/control/store/state_handle.rs
+++ b/src/control/store/state_handle.rs
@@ -5,7 +5,7 @@
 use crate::{
     control::{
         api::{CallRefusal, WatchScope},
-        feed::{FeedAnswer, FeedScope, FeedSignals, ReplicaState},
+        feed::{FeedAnswer, FeedNotifier, FeedScope, ReplicaState},
         lease::LeaseClaim,
         state::StateError,
     },
@@ -13,7 +13,7 @@
     route::{RouteChange, TargetRoute},
 };
 
-/// The state of this replica, shared by the log, the calls and the leases.
+/// A handle to this replica's state, shared by the log, the calls and the leases.
 #[derive(Debug, Clone)]
 pub(crate) struct StateHandle {
     shared: Arc<Mutex<SharedState>>,
@@ -22,49 +22,50 @@
 #[derive(Debug)]
 struct SharedState {
     replica: ReplicaState,
-    signals: FeedSignals,
+    notifier: FeedNotifier,
 }
 
-/// What happened to the registrations since a revision.
+/// The changes of registrations since a revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum RegistrationChanges {
-    /// Each change in order; none stands for a removed target.
+    /// Each change in order; `None` for a removed target.
     Incremental(Vec<(TargetKey, Option<LeaseClaim>)>),
-    /// Every registration, since the changes are no longer held.
+    /// All registrations, if the changes since the revision are not available.
     Full(Vec<LeaseClaim>),
 }
 
 impl StateHandle {
-    /// Shares `replica`.
+    /// Creates a handle to `replica`.
     pub(crate) fn new(replica: ReplicaState) -> Self {
-        let signals = FeedSignals::new(replica.state().revision());
+        let notifier = FeedNotifier::new(replica.state().revision());
         Self {
-            shared: Arc::new(Mutex::new(SharedState { replica, signals })),
+            shared: Arc::new(Mutex::new(SharedState { replica, notifier })),
         }
     }
 
-    /// Executes one committed command and wakes the watchers that it concerns.
+    /// Executes one committed command and wakes the affected watchers; returns the encoded
+    /// outcome.
     pub(crate) fn apply(&self, command: &[u8]) -> Vec<u8> {
         let mut shared = self.lock();
         let transition = shared.replica.apply(command);
         if transition.effective {
             let revision = shared.replica.state().revision();
-            shared.signals.announce(revision, &transition.changes);
+            shared.notifier.notify(revision, &transition.changes);
         }
         transition.outcome.encode()
     }
 
-    /// Returns the agreed state as bytes.
+    /// Encodes the replicated state as a snapshot.
     pub(crate) fn snapshot(&self) -> Result<Vec<u8>, StateError> {
         self.lock().replica.snapshot()
     }
 
-    /// Takes over the state of a snapshot and wakes every watcher.
+    /// Replaces the state with that of a snapshot and wakes every watcher.
     pub(crate) fn restore(&self, bytes: &[u8]) -> Result<(), StateError> {
         let mut shared = self.lock();
         shared.replica.restore(bytes)?;
         let revision = shared.replica.state().revision();
-        shared.signals.announce_all(revision);
+        shared.notifier.notify_all(revision);
         Ok(())
     }
 
@@ -73,43 +74,45 @@
         self.lock().replica.state().revision()
     }
 
-    /// Looks at the state for a short time; `look` must not use this handle.
-    pub(crate) fn read<T>(&self, look: impl FnOnce(&ReplicaState) -> T) -> T {
-        look(&self.lock().replica)
+    /// Calls `inspect` with the state locked. It must be short and must not use this handle.
+    pub(crate) fn read<T>(&self, inspect: impl FnOnce(&ReplicaState) -> T) -> T {
+        inspect(&self.lock().replica)
     }
 
-    /// Returns the scope that a watcher names.
+    /// Resolves the scope that a watcher requested.
+    ///
+    /// Fails for a service name that was never in a manifest.
     pub(crate) fn scope(&self, scope: &WatchScope) -> Result<FeedScope, CallRefusal> {
         self.lock().replica.scope(scope)
     }
 
-    /// Returns a receiver that changes when news for `scope` may be there.
+    /// Returns a receiver that is notified when `scope` may have changed.
     pub(crate) fn subscribe(&self, scope: FeedScope) -> watch::Receiver<FeedRevision> {
-        self.lock().signals.subscribe(scope)
+        self.lock().notifier.subscribe(scope)
     }
 
-    /// Returns what came after the revision in force at a watcher.
+    /// Returns the reply for a watcher whose routes are at revision `in_force`.
     pub(crate) fn answer(&self, scope: FeedScope, in_force: FeedRevision) -> FeedAnswer {
         self.lock().replica.answer(scope, in_force)
     }
 
-    /// Returns the run that is registered at an address.
+    /// Returns the incarnation that is registered at an address.
     pub(crate) fn lease_holder(&self, target: TargetKey) -> Option<LeaseClaim> {
         let shared = self.lock();
         let registrations = shared.replica.state().registrations();
         registrations.target(target).map(lease_holder_of)
     }
 
-    /// Returns the revision and what led to it since `seen`.
+    /// Returns the current revision and the changes of registrations since `since`.
     pub(crate) fn registration_changes(
         &self,
-        seen: FeedRevision,
+        since: FeedRevision,
     ) -> (FeedRevision, RegistrationChanges) {
         let shared = self.lock();
         let state = shared.replica.state();
-        let held = shared.replica.history().changes_after(seen);
-        let changes = match held {
-            Some(changes) if seen != FeedRevision::EMPTY => {
+        let recent = shared.replica.history().changes_after(since);
+        let changes = match recent {
+            Some(changes) if since != FeedRevision::EMPTY => {
                 let changes = changes.filter_map(|change| registration_change(&change.change));
                 RegistrationChanges::Incremental(changes.collect())
             }
--- a/src/control/store/tests/mod.rs
+++ b/src/control/store/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the stores.
+//! Tests of the store interface.
 
 use super::{ControlStore, MemoryStore, ReadConfirmer, RegistrationChanges, StateHandle};
 use crate::{
@@ -10,13 +10,13 @@
     key::FeedRevision,
 };
 
-fn memory() -> (StateHandle, ControlStore) {
+fn memory_store() -> (StateHandle, ControlStore) {
     let state = StateHandle::new(ReplicaState::new());
     let store = ControlStore::Memory(MemoryStore::new(state.clone()));
     (state, store)
 }
 
-async fn prepare(store: &ControlStore) {
+async fn apply_commands(store: &ControlStore) {
     let first = ControlCommand::Apply(manifest(1, 0, &["barge"]).manifest);
     let second = ControlCommand::Announce(announcement("barge", 1, 1));
     for command in [first, second] {
@@ -26,26 +26,26 @@
 }
 
 #[tokio::test]
-async fn many_askers_share_confirmations() {
-    let (_, store) = memory();
-    prepare(&store).await;
+async fn concurrent_reads_are_confirmed() {
+    let (_, store) = memory_store();
+    apply_commands(&store).await;
     let confirmer = ReadConfirmer::start(store);
-    let askers: Vec<_> = (0..100)
+    let readers: Vec<_> = (0..100)
         .map(|_| {
             let confirmer = confirmer.clone();
             tokio::spawn(async move { confirmer.confirm().await })
         })
         .collect();
-    for asker in askers {
-        let answer = asker.await.expect("no panic");
+    for reader in readers {
+        let answer = reader.await.expect("no panic");
         assert_eq!(answer, Ok(FeedRevision::new(2)));
     }
 }
 
 #[tokio::test]
-async fn registrations_are_followed_from_a_revision_or_whole() {
-    let (state, store) = memory();
-    prepare(&store).await;
+async fn registration_changes_are_incremental_or_full_after_a_restore() {
+    let (state, store) = memory_store();
+    apply_commands(&store).await;
     let target = announcement("barge", 1, 1).target;
     let holder = state.lease_holder(target).expect("registered");
     let (revision, changes) = state.registration_changes(FeedRevision::new(1));
