--- a/src/control/journal/atomic_file.rs
+++ b/src/control/journal/atomic_file.rs
@@ -1,4 +1,4 @@
-//! Files that are replaced as a whole: hard state and snapshots.
+//! Files that are replaced atomically: the hard state and snapshots.
 
 use std::{
     fs::{self, File},
@@ -10,14 +10,14 @@
 
 use super::{JournalError, journal_error::DamageFault};
 
-/// The first bytes of a file, with the version of its format.
+/// The first bytes of a file; the last digit is the format version.
 const MAGIC: [u8; 8] = *b"CYCFILE1";
-/// Magic, length of the content, its checksum, and the header's checksum.
+/// Magic (8 bytes), content length (8), content checksum (4) and header checksum (4).
 const HEADER_BYTES: usize = 24;
-/// The ending of a file that is not finished.
+/// The extension of a file that is still being written.
 pub(super) const TEMPORARY_EXTENSION: &str = "tmp";
 
-/// Writes a file so that it is found either old or new, and synced.
+/// Replaces a file atomically and syncs it.
 pub(crate) fn replace_file<T: Serialize>(path: &Path, value: &T) -> Result<(), JournalError> {
     let content = encode(path, value)?;
     let temporary = path.with_extension(TEMPORARY_EXTENSION);
@@ -30,7 +30,7 @@
     sync_folder(path)
 }
 
-/// Syncs the folder that holds `path`, so that its name lasts.
+/// Syncs the parent folder of `path`, so that changes of its directory entry are durable.
 pub(super) fn sync_folder(path: &Path) -> Result<(), JournalError> {
     let folder = path.parent().unwrap_or(path);
     File::open(folder)
@@ -38,7 +38,7 @@
         .map_err(JournalError::storage("sync", folder))
 }
 
-/// Reads a file, or returns `None` if there is none.
+/// Reads a file, or returns `None` if it does not exist.
 pub(crate) fn read_file<T: DeserializeOwned>(path: &Path) -> Result<Option<T>, JournalError> {
     let bytes = match fs::read(path) {
         Ok(bytes) => bytes,
@@ -65,8 +65,8 @@
     let Some((header, content)) = bytes.split_at_checked(HEADER_BYTES) else {
         return Err(damaged(0, DamageFault::Length));
     };
-    let (fields, header_sum) = header.split_at(HEADER_BYTES - 4);
-    if header_sum != crc32fast::hash(fields).to_le_bytes() || fields[..8] != MAGIC {
+    let (fields, header_checksum) = header.split_at(HEADER_BYTES - 4);
+    if header_checksum != crc32fast::hash(fields).to_le_bytes() || fields[..8] != MAGIC {
         return Err(damaged(0, DamageFault::Header));
     }
     if fields[8..16] != (content.len() as u64).to_le_bytes() {
--- a/src/control/journal/commit_mark.rs
+++ b/src/control/journal/commit_mark.rs
@@ -8,57 +8,55 @@
 use super::{JournalError, atomic_file::sync_folder};
 use crate::control::replica::LogIndex;
 
-/// The name of the file.
-const MARK_NAME: &str = "commit-mark";
-/// An index and its checksum.
+const MARK_FILE_NAME: &str = "commit-mark";
+/// An index (8 bytes) and its checksum (4).
 const MARK_BYTES: usize = 12;
-/// The distance between the two marks: a torn write harms one of them only.
-const SLOT_BYTES: u64 = 512;
+/// The distance between the two slots, chosen so that a torn write damages only one.
+const SLOT_SPACING_BYTES: u64 = 512;
 
-/// The last entry that is known to be committed, so that a replica that starts
-/// again knows a state that was in force before it hears the others.
+/// The file with the index of the last entry known to be committed. A restarted replica can
+/// restore a committed state from it before it reaches the others.
 ///
-/// The two slots are written in turn; a mark that is torn or lost counts as the
-/// older one.
+/// The two slots are written in turn; if one is torn or lost, the other is used.
 #[derive(Debug)]
 pub(super) struct CommitMark {
     path: PathBuf,
     file: Option<File>,
-    writes: u64,
+    write_count: u64,
 }
 
 impl CommitMark {
-    /// Names the mark of a data folder; the file is created by the first write.
+    /// Creates the mark of a data folder; the first write creates its file.
     pub(super) fn new(folder: &Path) -> Self {
         Self {
-            path: folder.join(MARK_NAME),
+            path: folder.join(MARK_FILE_NAME),
             file: None,
-            writes: 0,
+            write_count: 0,
         }
     }
 
-    /// Returns the mark, zero if there is none.
+    /// Reads the index, or returns zero if there is no valid slot.
     pub(super) fn read(&self) -> Result<LogIndex, JournalError> {
         let bytes = match fs::read(&self.path) {
             Ok(bytes) => bytes,
             Err(error) if error.kind() == ErrorKind::NotFound => return Ok(LogIndex::ZERO),
             Err(error) => return Err(JournalError::storage("read", &self.path)(error)),
         };
-        let slots = [0, usize::try_from(SLOT_BYTES).unwrap_or_default()];
+        let slots = [0, usize::try_from(SLOT_SPACING_BYTES).unwrap_or_default()];
         let marks = slots
             .into_iter()
             .filter_map(|start| decode(bytes.get(start..start + MARK_BYTES)?));
         Ok(marks.max().unwrap_or_default())
     }
 
-    /// Writes and syncs the mark.
+    /// Writes an index to the next slot and syncs it.
     pub(super) fn write(&mut self, index: LogIndex) -> Result<(), JournalError> {
         let file = match self.file.take() {
             Some(file) => file,
             None => self.open()?,
         };
-        let slot = (self.writes % 2) * SLOT_BYTES;
-        self.writes += 1;
+        let slot = (self.write_count % 2) * SLOT_SPACING_BYTES;
+        self.write_count += 1;
         file.write_all_at(&encode(index), slot)
             .and_then(|()| file.sync_data())
             .map_err(JournalError::storage("write", &self.path))?;
--- a/src/control/journal/folder_lock.rs
+++ b/src/control/journal/folder_lock.rs
@@ -5,21 +5,18 @@
 
 use super::JournalError;
 
-/// The name of the lock file.
-const LOCK_NAME: &str = "lock";
+const LOCK_FILE_NAME: &str = "lock";
 
-/// Keeps other processes out of a data folder until it is dropped.
+/// An exclusive lock on a data folder, released when dropped.
 #[derive(Debug)]
 pub(crate) struct FolderLock {
     _file: File,
 }
 
 impl FolderLock {
-    /// Locks the folder.
-    ///
-    /// Fails when another process has it.
+    /// Locks the folder. Fails if another process holds the lock.
     pub(crate) fn acquire(folder: &Path) -> Result<Self, JournalError> {
-        let path = folder.join(LOCK_NAME);
+        let path = folder.join(LOCK_FILE_NAME);
         let file = File::options()
             .create(true)
             .truncate(false)
--- a/src/control/journal/journal_error.rs
+++ b/src/control/journal/journal_error.rs
@@ -6,48 +6,48 @@
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// Why a replica's data folder can't be used.
+/// A failure to use a replica's data folder.
 #[derive(Debug, Error, Diagnostic)]
 pub enum JournalError {
     /// A file could not be read or written.
     #[error("cannot {action} {path}: {cause}")]
     Storage {
-        /// What was tried.
+        /// The operation that failed.
         action: &'static str,
         /// The file or folder.
         path: PathBuf,
-        /// What the system answered.
+        /// The error of the operating system.
         #[source]
         cause: io::Error,
     },
-    /// Another process has the data folder.
+    /// Another process has locked the data folder.
     #[error("another process uses the data folder {path}")]
     #[diagnostic(help("give each replica a folder of its own"))]
     Locked {
         /// The lock file.
         path: PathBuf,
     },
-    /// A file holds other bytes than were written.
+    /// A file does not hold the bytes that were written.
     #[error("{path} is damaged at offset {offset}: {fault}")]
     #[diagnostic(help(
-        "if a majority of the group is whole, move the data folder away and start the replica; \
+        "if a majority of the group is healthy, move the data folder away and start the replica; \
          it joins again as a new one"
     ))]
     Damaged {
         /// The file.
         path: PathBuf,
-        /// Where the fault was found, in bytes.
+        /// The offset of the damage in bytes.
         offset: u64,
-        /// What was found.
+        /// The kind of damage.
         fault: DamageFault,
     },
-    /// Files are there, but not the one that names the data folder.
+    /// The folder holds segments or snapshots, but not the hard state with its identity.
     #[error("the data folder {path} holds a log but no hard state")]
     IdentityMissing {
         /// The data folder.
         path: PathBuf,
     },
-    /// An earlier write has failed, so nothing more is written.
+    /// An earlier write failed, so further writes are refused.
     #[error("the data folder {path} is closed since an earlier write failed")]
     Closed {
         /// The data folder.
@@ -71,12 +71,12 @@
     #[error("the file ends too early")]
     Length,
     /// An entry or a whole file is missing before this one.
-    #[error("something is missing before it")]
+    #[error("an entry or a file before it is missing")]
     Gap,
 }
 
 impl JournalError {
-    /// Wraps what the system answered when `action` was tried on `path`.
+    /// Wraps an error of the operating system with the failed action and its path.
     pub(super) fn storage(
         action: &'static str,
         path: &Path,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Names a damaged place.
+    /// Creates the error for damage at `offset` bytes.
     pub(super) fn damaged(path: &Path, offset: usize, fault: DamageFault) -> Self {
         Self::Damaged {
             path: path.to_owned(),
--- a/src/control/journal/log_record.rs
+++ b/src/control/journal/log_record.rs
@@ -1,25 +1,25 @@
-//! The form of one log entry in a segment file.
+//! The on-disk format of one log entry in a segment file.
 
 use super::journal_error::DamageFault;
 use crate::control::replica::LogEntry;
 
-/// Length of the content, its checksum, and the checksum of both.
+/// Content length, content checksum and header checksum, 4 bytes each.
 pub(super) const RECORD_HEADER_BYTES: usize = 12;
 
-/// What stands at a place of a segment file.
+/// The result of parsing the bytes of a segment file from some offset.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum RecordFound {
-    /// An entry, and the bytes that it takes.
+pub(super) enum ParsedRecord {
+    /// An entry and the length of its record in bytes.
     Entry(LogEntry, usize),
-    /// The end of the file.
+    /// There are no more bytes.
     End,
-    /// The beginning of a record whose write was cut short.
+    /// An incomplete record, whose write was interrupted.
     Torn,
-    /// Other bytes than were written.
+    /// A record that does not hold the bytes that were written.
     Damaged(DamageFault),
 }
 
-/// Appends an entry's record to `buffer`; returns whether it could be encoded.
+/// Appends the record of an entry to `buffer`; returns `false` if it can't be encoded.
 pub(super) fn encode_record(entry: &LogEntry, buffer: &mut Vec<u8>) -> bool {
     let Ok(content) = postcard::to_stdvec(entry) else {
         return false;
@@ -30,42 +30,42 @@
     let mut header = [0; RECORD_HEADER_BYTES];
     header[..4].copy_from_slice(&length.to_le_bytes());
     header[4..8].copy_from_slice(&crc32fast::hash(&content).to_le_bytes());
-    let header_sum = header_checksum(&header[..8]);
-    header[8..].copy_from_slice(&header_sum);
+    let checksum = header_checksum(&header[..8]);
+    header[8..].copy_from_slice(&checksum);
     buffer.extend_from_slice(&header);
     buffer.extend_from_slice(&content);
     true
 }
 
-/// Reads what stands at the beginning of `bytes`.
+/// Parses the record at the start of `bytes`.
 ///
-/// A record that the file's end cuts short is torn. A record that is there in
-/// its full length and does not match its checksums is damaged, even at the
-/// end: it may have been acknowledged.
-pub(super) fn read_record(bytes: &[u8]) -> RecordFound {
+/// A record that extends past the end of the file is torn. A record of full length with a
+/// wrong checksum is damaged, even at the end of the file, since it may have been
+/// acknowledged.
+pub(super) fn parse_record(bytes: &[u8]) -> ParsedRecord {
     if bytes.is_empty() {
-        return RecordFound::End;
+        return ParsedRecord::End;
     }
-    // A file system may have grown the file without its content.
+    // The file system may have extended the file without writing its content.
     if bytes.iter().all(|byte| *byte == 0) {
-        return RecordFound::Torn;
+        return ParsedRecord::Torn;
     }
     let Some((header, rest)) = bytes.split_at_checked(RECORD_HEADER_BYTES) else {
-        return RecordFound::Torn;
+        return ParsedRecord::Torn;
     };
     if header[8..] != header_checksum(&header[..8]) {
-        return RecordFound::Damaged(DamageFault::Header);
+        return ParsedRecord::Damaged(DamageFault::Header);
     }
     let length = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
     let Some(content) = rest.get(..length) else {
-        return RecordFound::Torn;
+        return ParsedRecord::Torn;
     };
     if header[4..8] != crc32fast::hash(content).to_le_bytes() {
-        return RecordFound::Damaged(DamageFault::Content);
+        return ParsedRecord::Damaged(DamageFault::Content);
     }
     match postcard::from_bytes(content) {
-        Ok(entry) => RecordFound::Entry(entry, RECORD_HEADER_BYTES + length),
-        Err(_) => RecordFound::Damaged(DamageFault::Encoding),
+        Ok(entry) => ParsedRecord::Entry(entry, RECORD_HEADER_BYTES + length),
+        Err(_) => ParsedRecord::Damaged(DamageFault::Encoding),
     }
 }
 
--- a/src/control/journal/mod.rs
+++ b/src/control/journal/mod.rs
@@ -1,5 +1,5 @@
-//! The data folder of a replica: what is written here is synced before it is
-//! acknowledged, and what is damaged is never read as if it were whole.
+//! The data folder of a replica: a write-ahead log, snapshots and the hard state. Writes are
+//! synced before they are acknowledged, and checksums detect damaged files.
 
 mod atomic_file;
 mod commit_mark;
--- a/src/control/journal/recovery.rs
+++ b/src/control/journal/recovery.rs
@@ -1,4 +1,4 @@
-//! What a data folder holds when a replica starts.
+//! Reads a data folder when a replica starts.
 
 use std::{
     fs,
@@ -20,47 +20,47 @@
     event::log_event,
 };
 
-/// The name of the file with term, vote and identity.
-pub(super) const HARD_STATE_NAME: &str = "hard-state";
-/// The ending of a snapshot's name.
+/// The file with the term, the vote and the identity of the folder.
+pub(super) const HARD_STATE_FILE_NAME: &str = "hard-state";
+/// The extension of a snapshot file.
 const SNAPSHOT_EXTENSION: &str = "snapshot";
 
-/// The state of a data folder and its open segments.
+/// The content of a data folder and its open segments.
 #[derive(Debug)]
 pub(super) struct FolderContent {
-    /// What the core starts from.
+    /// The state that the replica's core starts from.
     pub(super) recovered: RecoveredState,
-    /// The segments, the newest last.
+    /// The segments, oldest first.
     pub(super) segments: Vec<SegmentFile>,
 }
 
-/// Reads a data folder; an empty one gets the identity `fresh`.
-pub(super) fn read_folder(folder: &Path, fresh: DiskId) -> Result<FolderContent, JournalError> {
+/// Reads a data folder; an empty one gets the identity `new_id`.
+pub(super) fn read_folder(folder: &Path, new_id: DiskId) -> Result<FolderContent, JournalError> {
     let paths = list_files(folder)?;
     let mut segment_paths = Vec::new();
     let mut snapshot_paths = Vec::new();
     for path in paths {
         if path
             .extension()
-            .is_some_and(|end| end == TEMPORARY_EXTENSION)
+            .is_some_and(|extension| extension == TEMPORARY_EXTENSION)
         {
             fs::remove_file(&path).map_err(JournalError::storage("remove", &path))?;
         } else if let Some(number) = segment_number(&path) {
             segment_paths.push((number, path));
         } else if path
             .extension()
-            .is_some_and(|end| end == SNAPSHOT_EXTENSION)
+            .is_some_and(|extension| extension == SNAPSHOT_EXTENSION)
         {
             snapshot_paths.push(path);
         }
     }
     segment_paths.sort();
     snapshot_paths.sort();
-    let state_path = folder.join(HARD_STATE_NAME);
+    let state_path = folder.join(HARD_STATE_FILE_NAME);
     let hard_state = match read_file(&state_path)? {
         Some(state) => state,
         None if segment_paths.is_empty() && snapshot_paths.is_empty() => {
-            let state = HardState::new(fresh);
+            let state = HardState::new(new_id);
             replace_file(&state_path, &state)?;
             state
         }
@@ -86,14 +86,15 @@
         return Err(JournalError::damaged(path, 0, DamageFault::Gap));
     }
     if !content.recovered.entries_connect() {
-        // The replacement of the log by a snapshot was cut short.
+        // Replacing the log by a snapshot was interrupted, so the entries are obsolete.
         content.recovered.entries.clear();
         remove_segments(folder, &mut content.segments)?;
     }
     Ok(content)
 }
 
-/// Removes every segment, the newest first, so that a cut leaves a beginning.
+/// Removes all segments, newest first, so that an interrupted removal leaves the older ones
+/// without a gap.
 pub(super) fn remove_segments(
     folder: &Path,
     segments: &mut Vec<SegmentFile>,
@@ -101,7 +102,7 @@
     while let Some(segment) = segments.pop() {
         segment.remove()?;
     }
-    sync_folder(&folder.join(HARD_STATE_NAME))
+    sync_folder(&folder.join(HARD_STATE_FILE_NAME))
 }
 
 /// Writes a snapshot and removes older ones.
@@ -112,7 +113,7 @@
     for other in list_files(folder)? {
         let is_snapshot = other
             .extension()
-            .is_some_and(|end| end == SNAPSHOT_EXTENSION);
+            .is_some_and(|extension| extension == SNAPSHOT_EXTENSION);
         if is_snapshot && other < path {
             fs::remove_file(&other).map_err(JournalError::storage("remove", &other))?;
         }
@@ -141,12 +142,12 @@
 ) -> Result<(Vec<SegmentFile>, Vec<LogEntry>), JournalError> {
     let mut segments = Vec::new();
     let mut entries: Vec<LogEntry> = Vec::new();
-    for (place, (number, path)) in paths.iter().enumerate() {
-        if place > 0 && paths[place - 1].0 + 1 != *number {
+    for (position, (number, path)) in paths.iter().enumerate() {
+        if position > 0 && paths[position - 1].0 + 1 != *number {
             return Err(JournalError::damaged(path, 0, DamageFault::Gap));
         }
-        let newest = place + 1 == paths.len();
-        let Some((segment, content)) = SegmentFile::open(path, *number, newest)? else {
+        let is_newest = position + 1 == paths.len();
+        let Some((segment, content)) = SegmentFile::open(path, *number, is_newest)? else {
             log_event!(warn, ControlEvent::TornTailCut, file = %path.display(), bytes = 0);
             continue;
         };
@@ -155,15 +156,15 @@
             log_event!(warn, ControlEvent::TornTailCut, file = %path.display(), bytes);
         }
         for entry in content.entries {
-            join_entry(path, &mut entries, entry)?;
+            add_entry(path, &mut entries, entry)?;
         }
         segments.push(segment);
     }
     Ok((segments, entries))
 }
 
-/// Adds an entry; it replaces what was written at its place or after.
-fn join_entry(
+/// Adds an entry, which replaces earlier entries with the same or a larger index.
+fn add_entry(
     path: &Path,
     entries: &mut Vec<LogEntry>,
     entry: LogEntry,
--- a/src/control/journal/replica_journal.rs
+++ b/src/control/journal/replica_journal.rs
@@ -8,18 +8,18 @@
     atomic_file::{replace_file, sync_folder},
     commit_mark::CommitMark,
     folder_lock::FolderLock,
-    recovery::{HARD_STATE_NAME, read_folder, remove_segments, write_snapshot},
+    recovery::{HARD_STATE_FILE_NAME, read_folder, remove_segments, write_snapshot},
     segment_file::SegmentFile,
 };
 use crate::control::replica::{DiskBatch, DiskId, LogEntry, LogIndex, RecoveredState};
 
-/// The bytes after which a new segment is begun.
+/// The size at which a new segment is started.
 const SEGMENT_BYTES: usize = 8 << 20;
 
 /// The data folder of a replica.
 ///
-/// After a failed write it is closed: nobody knows what is on the disk, so
-/// nothing more may be acknowledged until the replica has started again.
+/// A failed write closes it: the content of the disk is then unknown, so nothing more may
+/// be acknowledged until the folder is read again.
 #[derive(Debug)]
 pub(crate) struct ReplicaJournal {
     folder: PathBuf,
@@ -32,17 +32,17 @@
 }
 
 impl ReplicaJournal {
-    /// Opens a data folder, which is created if it does not exist.
+    /// Opens a data folder, and creates it if it does not exist.
     ///
-    /// An empty folder gets the identity `fresh`. Fails when another process
-    /// has the folder, or when something in it is damaged.
+    /// An empty folder gets the identity `new_id`. Fails when another process has locked the
+    /// folder, or when it is damaged.
     pub(crate) fn open(
         folder: &Path,
-        fresh: DiskId,
+        new_id: DiskId,
     ) -> Result<(Self, RecoveredState), JournalError> {
         create_folder(folder)?;
         let lock = FolderLock::acquire(folder)?;
-        let content = read_folder(folder, fresh)?;
+        let content = read_folder(folder, new_id)?;
         let journal = Self {
             folder: folder.to_owned(),
             segments: content.segments,
@@ -55,20 +55,20 @@
         Ok((journal, content.recovered))
     }
 
-    /// Sets the bytes after which a new segment is begun.
+    /// Sets the size at which a new segment is started.
     #[cfg(test)]
     pub(crate) fn with_segment_bytes(mut self, bytes: usize) -> Self {
         self.segment_bytes = bytes;
         self
     }
 
-    /// Reads the folder again after a failed write, so that writing can go on.
+    /// Reads the folder again after a failed write, and allows further writes.
     ///
-    /// What the failed batch left behind is replaced when it is written again.
+    /// The failed batch has to be written again; that replaces the parts already on disk.
     ///
     /// # Errors
     ///
-    /// Fails when the folder can't be read; it stays closed then.
+    /// Fails when the folder can't be read; it then stays closed.
     pub(crate) fn reopen(&mut self) -> Result<(), JournalError> {
         let content = read_folder(&self.folder, self.disk)?;
         self.segments = content.segments;
@@ -76,25 +76,25 @@
         Ok(())
     }
 
-    /// Writes a batch; when it returns, all of it is synced.
+    /// Writes and syncs a batch.
     ///
     /// # Errors
     ///
-    /// Fails when the disk is full or broken; the folder is closed then.
+    /// Fails when the disk is full or broken; the folder is then closed.
     pub(crate) fn write_batch(&mut self, batch: &DiskBatch) -> Result<(), JournalError> {
         if self.closed {
             let path = self.folder.clone();
             return Err(JournalError::Closed { path });
         }
         self.closed = true;
-        self.write_parts(batch)?;
+        self.persist_batch(batch)?;
         self.closed = false;
         Ok(())
     }
 
-    fn write_parts(&mut self, batch: &DiskBatch) -> Result<(), JournalError> {
+    fn persist_batch(&mut self, batch: &DiskBatch) -> Result<(), JournalError> {
         if let Some(state) = &batch.hard_state {
-            replace_file(&self.folder.join(HARD_STATE_NAME), state)?;
+            replace_file(&self.folder.join(HARD_STATE_FILE_NAME), state)?;
         }
         if let Some(snapshot) = &batch.snapshot {
             write_snapshot(&self.folder, snapshot)?;
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Removes old segments that hold nothing after `drop_to`.
+    /// Removes the oldest segments that hold no entry after `drop_to`.
     fn compact(&mut self, drop_to: LogIndex) -> Result<(), JournalError> {
         while let [first, _, ..] = self.segments.as_slice()
             && first.last_index() <= drop_to
@@ -139,7 +139,7 @@
     }
 }
 
-/// Creates a folder with those above it, so that their names last.
+/// Creates a folder and its missing parents, and syncs their directory entries.
 fn create_folder(folder: &Path) -> Result<(), JournalError> {
     let folder = path::absolute(folder).map_err(JournalError::storage("find", folder))?;
     let missing: Vec<&Path> = folder
--- a/src/control/journal/segment_file.rs
+++ b/src/control/journal/segment_file.rs
@@ -8,18 +8,18 @@
     JournalError,
     atomic_file::sync_folder,
     journal_error::DamageFault,
-    log_record::{RecordFound, encode_record, read_record},
+    log_record::{ParsedRecord, encode_record, parse_record},
 };
 use crate::control::replica::{LogEntry, LogIndex};
 
-/// The first bytes of a segment, with the version of its format.
+/// The first bytes of a segment; the last digit is the format version.
 const MAGIC: [u8; 8] = *b"CYCSEGM1";
-/// Magic, the segment's number, and the checksum of both.
+/// Magic (8 bytes), segment number (8) and the checksum of both (4).
 const SEGMENT_HEADER_BYTES: usize = 20;
-/// The ending of a segment's name.
+/// The extension of a segment file.
 pub(super) const SEGMENT_EXTENSION: &str = "segment";
 
-/// One file of the log; only the newest one grows.
+/// One file of the log. Only the newest one is appended to.
 #[derive(Debug)]
 pub(super) struct SegmentFile {
     file: File,
@@ -29,17 +29,17 @@
     last_index: LogIndex,
 }
 
-/// What a segment held when it was opened.
+/// The content of a segment when it was opened.
 #[derive(Debug)]
 pub(super) struct SegmentContent {
-    /// The entries in the order in which they were written.
+    /// The entries in the order they were written.
     pub(super) entries: Vec<LogEntry>,
-    /// The bytes of a record whose write was cut short.
+    /// The length of the torn record that was cut off, in bytes.
     pub(super) torn_bytes: usize,
 }
 
 impl SegmentFile {
-    /// Creates an empty segment; its name is synced.
+    /// Creates an empty segment, and syncs it with its directory entry.
     pub(super) fn create(folder: &Path, number: u64) -> Result<Self, JournalError> {
         let path = segment_path(folder, number);
         let mut file = OpenOptions::new()
@@ -61,17 +61,18 @@
         })
     }
 
-    /// Opens a segment and reads it; a torn end is cut off if it is the newest.
+    /// Opens and reads a segment; a torn record at the end of the newest one is cut off.
     ///
-    /// Returns `None` if even the newest segment's creation was cut short.
+    /// If even the header of the newest segment is incomplete, removes the file and returns
+    /// `None`.
     pub(super) fn open(
         path: &Path,
         number: u64,
-        newest: bool,
+        is_newest: bool,
     ) -> Result<Option<(Self, SegmentContent)>, JournalError> {
         let bytes = fs::read(path).map_err(JournalError::storage("read", path))?;
         if bytes.len() < SEGMENT_HEADER_BYTES {
-            if newest {
+            if is_newest {
                 fs::remove_file(path).map_err(JournalError::storage("remove", path))?;
                 sync_folder(path)?;
                 return Ok(None);
@@ -81,7 +82,7 @@
         if bytes[..SEGMENT_HEADER_BYTES] != segment_header(number) {
             return Err(JournalError::damaged(path, 0, DamageFault::Header));
         }
-        let (entries, length) = read_entries(path, &bytes, newest)?;
+        let (entries, length) = read_entries(path, &bytes, is_newest)?;
         let file = OpenOptions::new()
             .append(true)
             .open(path)
@@ -107,7 +108,7 @@
         Ok(Some((segment, content)))
     }
 
-    /// Appends entries and syncs them together.
+    /// Appends entries with a single sync.
     pub(super) fn append(&mut self, entries: &[LogEntry]) -> Result<(), JournalError> {
         let mut buffer = Vec::new();
         for entry in entries {
@@ -137,12 +138,12 @@
         self.number
     }
 
-    /// Returns the segment's bytes.
+    /// Returns the length of the file in bytes.
     pub(super) fn length(&self) -> usize {
         self.length
     }
 
-    /// Returns the largest place of its entries.
+    /// Returns the largest index of its entries, zero if it has none.
     pub(super) fn last_index(&self) -> LogIndex {
         self.last_index
     }
@@ -151,29 +152,29 @@
 fn read_entries(
     path: &Path,
     bytes: &[u8],
-    newest: bool,
+    is_newest: bool,
 ) -> Result<(Vec<LogEntry>, usize), JournalError> {
     let mut entries = Vec::new();
     let mut offset = SEGMENT_HEADER_BYTES;
     loop {
-        match read_record(&bytes[offset..]) {
-            RecordFound::Entry(entry, length) => {
+        match parse_record(&bytes[offset..]) {
+            ParsedRecord::Entry(entry, length) => {
                 entries.push(entry);
                 offset += length;
             }
-            RecordFound::End => return Ok((entries, offset)),
-            RecordFound::Torn if newest => return Ok((entries, offset)),
-            RecordFound::Torn => {
+            ParsedRecord::End => return Ok((entries, offset)),
+            ParsedRecord::Torn if is_newest => return Ok((entries, offset)),
+            ParsedRecord::Torn => {
                 return Err(JournalError::damaged(path, offset, DamageFault::Length));
             }
-            RecordFound::Damaged(fault) => {
+            ParsedRecord::Damaged(fault) => {
                 return Err(JournalError::damaged(path, offset, fault));
             }
         }
     }
 }
 
-/// Returns the number in a segment's name.
+/// Parses the number of a segment from its file name.
 pub(super) fn segment_number(path: &Path) -> Option<u64> {
     if path.extension()? != SEGMENT_EXTENSION {
         return None;
--- a/src/control/journal/tests/commit_mark.rs
+++ b/src/control/journal/tests/commit_mark.rs
@@ -1,4 +1,4 @@
-//! Tests of the remembered commit.
+//! Tests of the commit mark.
 
 use std::fs;
 
@@ -7,7 +7,7 @@
 use super::open;
 use crate::control::replica::{DiskBatch, LogIndex};
 
-fn mark(folder: &TempDir, commits: &[u64]) {
+fn write_marks(folder: &TempDir, commits: &[u64]) {
     let (mut journal, _) = open(folder);
     for commit in commits {
         let batch = DiskBatch {
@@ -19,16 +19,16 @@
 }
 
 #[test]
-fn the_last_mark_is_found_again() {
+fn the_last_mark_is_read_after_a_restart() {
     let folder = TempDir::new().expect("a folder");
-    mark(&folder, &[4, 5, 9]);
+    write_marks(&folder, &[4, 5, 9]);
     assert_eq!(open(&folder).1.commit, LogIndex::new(9));
 }
 
 #[test]
-fn a_torn_mark_counts_as_the_one_before() {
+fn the_previous_mark_is_used_if_the_last_one_is_torn() {
     let folder = TempDir::new().expect("a folder");
-    mark(&folder, &[4, 9]);
+    write_marks(&folder, &[4, 9]);
     let path = folder.path().join("commit-mark");
     let mut bytes = fs::read(&path).expect("a file");
     let last = bytes.len() - 1;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_folder_without_a_mark_knows_of_no_commit() {
+fn a_folder_without_a_mark_has_no_known_commit() {
     let folder = TempDir::new().expect("a folder");
     assert_eq!(open(&folder).1.commit, LogIndex::ZERO);
 }
--- a/src/control/journal/tests/damage.rs
+++ b/src/control/journal/tests/damage.rs
@@ -1,4 +1,4 @@
-//! Torn ends are cut, damage is refused.
+//! A torn end of the log is cut off; other damage is refused.
 
 use std::fs;
 
@@ -6,16 +6,17 @@
 use rstest::rstest;
 use tempfile::{TempDir, tempdir};
 
-use super::{DISK, entries_batch, entry, files, fixed_cases, open, snapshot_batch};
+use super::{DISK, entries_batch, entry, files_ending_with, fixed_cases, open, snapshot_batch};
 use crate::control::{
     journal::{
         JournalError, ReplicaJournal,
-        log_record::{RecordFound, read_record},
+        log_record::{ParsedRecord, parse_record},
     },
     replica::LogEntry,
 };
 
-/// Writes some entries to one segment; returns the file's length after each.
+/// Writes entries of the given sizes to one segment; returns them and the file's length after
+/// each.
 fn write_entries(folder: &TempDir, sizes: &[usize]) -> (Vec<LogEntry>, Vec<usize>) {
     let (mut journal, _) = open(folder);
     let mut written = Vec::new();
@@ -26,23 +27,23 @@
             .write_batch(&entries_batch(vec![entry.clone()]))
             .expect("room");
         written.push(entry);
-        let path = &files(folder, ".segment")[0];
+        let path = &files_ending_with(folder, ".segment")[0];
         let length = fs::metadata(path).expect("a file").len();
         lengths.push(usize::try_from(length).expect("small"));
     }
     (written, lengths)
 }
 
-fn refused(folder: &TempDir) -> bool {
+fn is_refused(folder: &TempDir) -> bool {
     let opened = ReplicaJournal::open(folder.path(), DISK);
     matches!(opened, Err(JournalError::Damaged { .. }))
 }
 
 #[test]
-fn a_damaged_middle_names_its_file_and_offset() {
+fn damage_in_the_middle_is_reported_with_file_and_offset() {
     let folder = tempdir().expect("a temporary folder");
     let (_, lengths) = write_entries(&folder, &[40, 40, 40]);
-    let path = files(&folder, ".segment")[0].clone();
+    let path = files_ending_with(&folder, ".segment")[0].clone();
     let mut bytes = fs::read(&path).expect("a file");
     bytes[lengths[0] + 30] ^= 1;
     fs::write(&path, bytes).expect("own file");
@@ -79,8 +80,8 @@
             .expect("room");
     }
     drop(journal);
-    fs::remove_file(&files(&folder, ".segment")[missing]).expect("own file");
-    assert!(refused(&folder));
+    fs::remove_file(&files_ending_with(&folder, ".segment")[missing]).expect("own file");
+    assert!(is_refused(&folder));
 }
 
 #[test]
@@ -94,14 +95,14 @@
             .expect("room");
     }
     drop(journal);
-    let path = files(&folder, ".segment")[0].clone();
+    let path = files_ending_with(&folder, ".segment")[0].clone();
     let bytes = fs::read(&path).expect("a file");
     fs::write(&path, &bytes[..bytes.len() - 1]).expect("own file");
-    assert!(refused(&folder));
+    assert!(is_refused(&folder));
 }
 
 #[test]
-fn a_segment_whose_creation_was_cut_short_is_dropped() {
+fn a_segment_with_an_incomplete_header_is_removed() {
     let folder = tempdir().expect("a temporary folder");
     let (written, _) = write_entries(&folder, &[10, 10]);
     let path = folder.path().join("log-00000000000000000002.segment");
@@ -113,7 +114,7 @@
 #[case("hard-state")]
 #[case(".snapshot")]
 #[case(".segment")]
-fn no_changed_byte_is_read_as_whole(#[case] ending: &str) {
+fn any_changed_byte_is_detected(#[case] suffix: &str) {
     let folder = tempdir().expect("a temporary folder");
     write_entries(&folder, &[0, 40, 7]);
     let (mut journal, _) = open(&folder);
@@ -121,14 +122,17 @@
         .write_batch(&snapshot_batch(1, 1, false, 0))
         .expect("room");
     drop(journal);
-    let path = files(&folder, ending)[0].clone();
-    let whole = fs::read(&path).expect("a file");
-    for place in 0..whole.len() {
+    let path = files_ending_with(&folder, suffix)[0].clone();
+    let original = fs::read(&path).expect("a file");
+    for position in 0..original.len() {
         for flip in [0x01, 0x80, 0xff] {
-            let mut bytes = whole.clone();
-            bytes[place] ^= flip;
+            let mut bytes = original.clone();
+            bytes[position] ^= flip;
             fs::write(&path, bytes).expect("own file");
-            assert!(refused(&folder), "byte {place} of {ending}, flip {flip}");
+            assert!(
+                is_refused(&folder),
+                "byte {position} of {suffix}, flip {flip}"
+            );
         }
     }
 }
@@ -137,20 +141,20 @@
     #![proptest_config(fixed_cases(48))]
 
     #[test]
-    fn a_torn_end_loses_only_what_was_not_synced(
+    fn a_torn_end_loses_only_unsynced_entries(
         sizes in prop::collection::vec(0..200_usize, 2..8),
         synced in 0..8_usize,
-        part in 0.0..1.0_f64,
+        fraction in 0.0..1.0_f64,
         zeros in 0..64_usize,
     ) {
         let folder = tempdir().expect("a temporary folder");
         let (written, lengths) = write_entries(&folder, &sizes);
         let synced = synced % (sizes.len() - 1);
-        // The write of the next record stopped somewhere in its midst.
+        // The write of the next record was interrupted.
         let (from, to) = (lengths[synced], lengths[synced + 1]);
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss, clippy::cast_precision_loss)]
-        let cut = from + ((to - from) as f64 * part) as usize;
-        let path = files(&folder, ".segment")[0].clone();
+        let cut = from + ((to - from) as f64 * fraction) as usize;
+        let path = files_ending_with(&folder, ".segment")[0].clone();
         let mut bytes = fs::read(&path).expect("a file");
         bytes.truncate(cut);
         if cut == from {
@@ -159,7 +163,7 @@
         fs::write(&path, bytes).expect("own file");
         let (mut journal, recovered) = open(&folder);
         prop_assert_eq!(&recovered.entries, &written[..=synced]);
-        // What follows the cut is found again.
+        // Entries written after the cut are read back.
         let next = entry(synced as u64 + 2, 9, 5);
         journal.write_batch(&entries_batch(vec![next.clone()])).expect("room");
         drop(journal);
@@ -168,9 +172,9 @@
     }
 
     #[test]
-    fn arbitrary_bytes_never_break_the_reader(
+    fn arbitrary_bytes_are_never_parsed_as_an_entry(
         bytes in prop::collection::vec(any::<u8>(), 0..300),
     ) {
-        prop_assert!(!matches!(read_record(&bytes), RecordFound::Entry(..)));
+        prop_assert!(!matches!(parse_record(&bytes), ParsedRecord::Entry(..)));
     }
 }
--- a/src/control/journal/tests/folder.rs
+++ b/src/control/journal/tests/folder.rs
@@ -1,36 +1,38 @@
-//! What is written is read back, across segments, snapshots and restarts.
+//! Written data is read back across segments, snapshots and restarts.
 
 use proptest::prelude::*;
 use rstest::rstest;
 use tempfile::tempdir;
 
-use super::{DISK, entries_batch, entry, files, fixed_cases, open, snapshot_batch, state_batch};
+use super::{
+    DISK, entries_batch, entry, files_ending_with, fixed_cases, open, snapshot_batch, state_batch,
+};
 use crate::control::{
     journal::{JournalError, ReplicaJournal},
     replica::{DiskId, LogIndex, RecoveredState, TermNumber},
 };
 
 #[test]
-fn an_empty_folder_gets_an_identity_that_stays() {
+fn an_empty_folder_gets_a_permanent_identity() {
     let folder = tempdir().expect("a temporary folder");
     let (journal, first) = open(&folder);
     drop(journal);
     let (_journal, second) =
-        ReplicaJournal::open(folder.path(), DiskId::new(8)).expect("a whole folder");
+        ReplicaJournal::open(folder.path(), DiskId::new(8)).expect("an intact folder");
     assert_eq!(first, RecoveredState::new(DISK));
     assert_eq!(second, first);
 }
 
 #[test]
-fn a_second_process_is_kept_out() {
+fn an_open_folder_can_not_be_opened_again() {
     let folder = tempdir().expect("a temporary folder");
-    let _held = open(&folder);
+    let _open = open(&folder);
     let second = ReplicaJournal::open(folder.path(), DISK);
     assert!(matches!(second, Err(JournalError::Locked { .. })));
 }
 
 #[test]
-fn a_folder_that_lost_its_identity_is_refused() {
+fn a_folder_without_its_hard_state_is_refused() {
     let folder = tempdir().expect("a temporary folder");
     let (mut journal, _) = open(&folder);
     journal
@@ -74,7 +76,7 @@
         .cloned()
         .collect();
     assert_eq!(tail, [entry(15, 2, 50), entry(16, 2, 50), entry(17, 3, 50)]);
-    assert_eq!(files(&folder, ".snapshot").len(), 1);
+    assert_eq!(files_ending_with(&folder, ".snapshot").len(), 1);
 }
 
 #[test]
@@ -87,15 +89,15 @@
             .write_batch(&entries_batch(vec![entry(index, 1, 10)]))
             .expect("room");
     }
-    assert_eq!(files(&folder, ".segment").len(), 30);
+    assert_eq!(files_ending_with(&folder, ".segment").len(), 30);
     journal
         .write_batch(&snapshot_batch(28, 1, false, 20))
         .expect("room");
-    assert_eq!(files(&folder, ".segment").len(), 10);
+    assert_eq!(files_ending_with(&folder, ".segment").len(), 10);
 }
 
 #[test]
-fn a_snapshot_of_the_leader_replaces_the_log() {
+fn a_snapshot_that_resets_the_log_replaces_its_entries() {
     let folder = tempdir().expect("a temporary folder");
     let (mut journal, _) = open(&folder);
     let old: Vec<_> = (1..=9).map(|index| entry(index, 1, 10)).collect();
@@ -109,12 +111,12 @@
 }
 
 #[test]
-fn a_replacement_that_was_cut_short_leaves_no_old_entry() {
+fn an_interrupted_replacement_of_the_log_leaves_no_old_entry() {
     let folder = tempdir().expect("a temporary folder");
     let (mut journal, _) = open(&folder);
     let old: Vec<_> = (1..=9).map(|index| entry(index, 1, 10)).collect();
     journal.write_batch(&entries_batch(old)).expect("room");
-    // The snapshot lasts, the removal of the old entries does not.
+    // The snapshot is written, but the old entries are not removed.
     journal
         .write_batch(&snapshot_batch(5, 2, false, 0))
         .expect("room");
@@ -132,7 +134,7 @@
 fn a_failed_write_closes_the_folder() {
     let folder = tempdir().expect("a temporary folder");
     let (mut journal, _) = open(&folder);
-    // A folder in the place of the temporary file makes the write fail.
+    // A folder with the name of the temporary file makes the write fail.
     let obstacle = folder.path().join("hard-state.tmp");
     std::fs::create_dir(&obstacle).expect("a writable folder");
     let failed = journal.write_batch(&state_batch(2));
@@ -146,7 +148,7 @@
     #![proptest_config(fixed_cases(32))]
 
     #[test]
-    fn a_restart_finds_every_batch(
+    fn every_batch_is_read_after_a_restart(
         sizes in prop::collection::vec((1..6_u64, 0..3_u64, 0..300_usize), 1..12),
         segment_bytes in 1..2_000_usize,
     ) {
--- a/src/control/journal/tests/mod.rs
+++ b/src/control/journal/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the data folder.
+//! Tests of the journal.
 
 mod commit_mark;
 mod damage;
@@ -24,7 +24,7 @@
 /// The seed of every property test of this folder.
 const SEED: u64 = 31;
 
-/// Returns a configuration that draws the same cases in every run.
+/// Returns a configuration that generates the same cases in every run.
 fn fixed_cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -36,7 +36,7 @@
 }
 
 fn open(folder: &TempDir) -> (ReplicaJournal, RecoveredState) {
-    ReplicaJournal::open(folder.path(), DISK).expect("a whole folder")
+    ReplicaJournal::open(folder.path(), DISK).expect("an intact folder")
 }
 
 fn entry(index: u64, term: u64, size: usize) -> LogEntry {
@@ -78,10 +78,10 @@
     }
 }
 
-fn files(folder: &TempDir, ending: &str) -> Vec<PathBuf> {
+fn files_ending_with(folder: &TempDir, suffix: &str) -> Vec<PathBuf> {
     let items = fs::read_dir(folder.path()).expect("a folder");
     let mut paths: Vec<PathBuf> = items.map(|item| item.expect("a file").path()).collect();
-    paths.retain(|path| path.to_string_lossy().ends_with(ending));
+    paths.retain(|path| path.to_string_lossy().ends_with(suffix));
     paths.sort();
     paths
 }
