--- a/src/control/feed/change_history.rs
+++ b/src/control/feed/change_history.rs
@@ -3,9 +3,9 @@
 use super::{DeltaBuilder, FeedScope};
 use crate::{control::state::FeedChange, key::FeedRevision, route::RouteDelta};
 
-/// Route changes kept for watchers that are behind.
+/// The maximum number of route changes kept for watchers that are behind.
 const MAX_CHANGES: usize = 65_536;
-/// Revisions kept for watchers that are behind.
+/// The maximum number of revisions kept for watchers that are behind.
 const MAX_REVISIONS: usize = 65_536;
 
 /// The changes of one revision.
--- a/src/control/feed/delta_builder.rs
+++ b/src/control/feed/delta_builder.rs
@@ -47,10 +47,11 @@
         for change in changes {
             let subject = subject_of(&change.change);
             if let Some(earlier) = self.latest.get_mut(&subject) {
-                // A target already in the delta must also be updated when it leaves the scope.
+                // Even a change out of scope must replace an earlier one in the delta, so
+                // that the watcher learns that a target left or was removed.
                 *earlier = change;
             } else if self.scope.covers(change) {
-                self.bytes += size_of(&change.change);
+                self.bytes += packed_size(&change.change);
                 self.latest.insert(subject, change);
             }
         }
@@ -94,7 +95,7 @@
     }
 }
 
-fn size_of(change: &RouteChange) -> usize {
+fn packed_size(change: &RouteChange) -> usize {
     match change {
         RouteChange::ServiceSet(route) => {
             let rules = route.spec.rules.len() * SERVICE_BYTES;
--- a/src/control/feed/replica_state.rs
+++ b/src/control/feed/replica_state.rs
@@ -158,7 +158,8 @@
 }
 
 fn encode_reply(reply: &FeedReply) -> EncodedReply {
-    let text = serde_json::value::to_raw_value(reply).expect("routes always have a JSON form");
+    let text =
+        serde_json::value::to_raw_value(reply).expect("routes can always be encoded as JSON");
     EncodedReply {
         text: Arc::from(text),
     }
--- a/src/control/feed/reply_cache.rs
+++ b/src/control/feed/reply_cache.rs
@@ -3,7 +3,7 @@
 use super::{EncodedReply, FeedScope};
 use crate::key::FeedRevision;
 
-/// Replies cached at most.
+/// The maximum number of cached replies.
 const MAX_REPLIES: usize = 256;
 
 /// Caches the encoded replies of the current revision; each new revision clears it.
--- a/src/control/feed/tests/budget.rs
+++ b/src/control/feed/tests/budget.rs
@@ -53,7 +53,7 @@
 fn five_hundred_missed_changes_arrive_within_seven_seconds_and_within_the_budget() {
     let mut replica = ReplicaState::new();
     let apply = |replica: &mut ReplicaState, command: ControlCommand| {
-        replica.apply(&command.encode().expect("a command has bytes"));
+        replica.apply(&command.encode().expect("an encodable command"));
     };
     apply(
         &mut replica,
@@ -74,7 +74,7 @@
         budget.charge(reply.bytes(), now);
         sent += reply.bytes() + 900;
         let Ok(FeedReply::Delta(delta)) = serde_json::from_str(reply.text.get()) else {
-            panic!("the changes are still held");
+            panic!("the history still has the changes");
         };
         in_force = delta.revision;
     }
--- a/src/control/feed/tests/convergence.rs
+++ b/src/control/feed/tests/convergence.rs
@@ -74,7 +74,7 @@
             FeedAnswer::Behind => panic!("the replica can't be behind its own feed"),
             FeedAnswer::News(reply) => reply,
         };
-        match serde_json::from_str(reply.text.get()).expect("a reply") {
+        match serde_json::from_str(reply.text.get()).expect("a valid reply") {
             FeedReply::Delta(delta) => {
                 assert_eq!(delta.after, *in_force);
                 assert!(delta.revision > *in_force);
@@ -86,7 +86,7 @@
                 *in_force = snapshot.revision;
                 *routes = WatchedRoutes::from_snapshot(snapshot);
             }
-            FeedReply::Unchanged { .. } => panic!("news are a delta or a snapshot"),
+            FeedReply::Unchanged { .. } => panic!("an update is a delta or a snapshot"),
         }
     }
     unreachable!("the loop returns")
@@ -107,7 +107,7 @@
         let mut routes = WatchedRoutes::default();
         let mut in_force = FeedRevision::EMPTY;
         for (command, poll) in commands.iter().zip(polls) {
-            replica.apply(&command.encode().expect("a command has bytes"));
+            replica.apply(&command.encode().expect("an encodable command"));
             if poll {
                 catch_up(&mut replica, scope, &mut routes, &mut in_force);
             }
@@ -127,16 +127,16 @@
         let mut replica = ReplicaState::new();
         let start = start.min(commands.len());
         for command in &commands[..start] {
-            replica.apply(&command.encode().expect("a command has bytes"));
+            replica.apply(&command.encode().expect("an encodable command"));
         }
         let mut routes = WatchedRoutes::from_snapshot(replica.routes(scope));
         let mut in_force = replica.state().revision();
         for command in &commands[start..] {
-            replica.apply(&command.encode().expect("a command has bytes"));
+            replica.apply(&command.encode().expect("an encodable command"));
         }
         let newest = replica.state().revision();
         while in_force < newest {
-            let delta = replica.history().delta(scope, in_force, byte_limit).expect("all held");
+            let delta = replica.history().delta(scope, in_force, byte_limit).expect("a complete history");
             prop_assert!(delta.revision > in_force);
             in_force = delta.revision;
             routes.execute(delta);
@@ -155,13 +155,13 @@
         let mut in_force = FeedRevision::EMPTY;
         let restored_at = restored_at.min(commands.len());
         for command in &commands[..restored_at] {
-            replica.apply(&command.encode().expect("a command has bytes"));
+            replica.apply(&command.encode().expect("an encodable command"));
         }
         catch_up(&mut replica, scope, &mut routes, &mut in_force);
         let mut other = ReplicaState::new();
-        other.restore(&replica.snapshot().expect("bytes")).expect("its own bytes");
+        other.restore(&replica.snapshot().expect("an encodable state")).expect("a valid snapshot");
         for command in &commands[restored_at..] {
-            other.apply(&command.encode().expect("a command has bytes"));
+            other.apply(&command.encode().expect("an encodable command"));
         }
         catch_up(&mut other, scope, &mut routes, &mut in_force);
         prop_assert_eq!(routes, WatchedRoutes::from_snapshot(other.routes(scope)));
--- a/src/control/feed/tests/watchers.rs
+++ b/src/control/feed/tests/watchers.rs
@@ -30,7 +30,7 @@
 fn watchers_with_the_lowest_revision_are_listed_first() {
     let mut table = WatcherTable::new();
     for (index, revision) in [(1, 9), (2, 4), (3, 7)] {
-        record_call(&mut table, index, revision, 0).expect("room");
+        record_call(&mut table, index, revision, 0).expect("a free entry");
     }
     let laggards = table.laggards(2, ClockMillis::new(50));
     let revisions: Vec<u64> = laggards
@@ -44,14 +44,14 @@
 #[test]
 fn a_full_table_refuses_new_watchers_until_silent_ones_are_evicted() {
     let mut table = WatcherTable::new().with_max_watchers(2);
-    record_call(&mut table, 1, 1, 0).expect("room");
-    record_call(&mut table, 2, 1, 500_000).expect("room");
+    record_call(&mut table, 1, 1, 0).expect("a free entry");
+    record_call(&mut table, 2, 1, 500_000).expect("a free entry");
     assert!(matches!(
         record_call(&mut table, 3, 1, 500_000),
         Err(CallRefusal::Overloaded { .. })
     ));
     record_call(&mut table, 2, 2, 500_000).expect("a known watcher");
-    record_call(&mut table, 3, 1, 700_000).expect("room again");
+    record_call(&mut table, 3, 1, 700_000).expect("a free entry again");
     assert_eq!(table.len(), 2);
 }
 
@@ -68,7 +68,7 @@
     let change = FeedChange::new(RouteChange::ServiceRemoved(services[0]), services[0])
         .with_previous_service(Some(services[1]));
     notifier.notify(FeedRevision::new(1), &[change]);
-    let woken = scoped.map(|receiver| receiver.has_changed().expect("a sender"));
+    let woken = scoped.map(|receiver| receiver.has_changed().expect("a live sender"));
     assert_eq!(woken, [true, true, false]);
-    assert!(all.has_changed().expect("a sender"));
+    assert!(all.has_changed().expect("a live sender"));
 }
--- a/src/control/feed/watcher_table.rs
+++ b/src/control/feed/watcher_table.rs
@@ -7,11 +7,11 @@
     key::{DomainName, FeedRevision},
 };
 
-/// Watchers tracked at most.
+/// The maximum number of watchers.
 const MAX_WATCHERS: usize = 131_072;
 /// The time since its last call after which a watcher may be evicted.
 const EVICT_AFTER_MILLIS: SpanMillis = SpanMillis::new(600_000);
-/// The minimum time between two evictions of silent watchers.
+/// The minimum time between two searches for watchers to evict.
 const EVICTION_INTERVAL_MILLIS: SpanMillis = SpanMillis::new(10_000);
 
 /// The state of one watcher.
--- a/src/control/journal/recovery.rs
+++ b/src/control/journal/recovery.rs
@@ -122,10 +122,10 @@
 }
 
 fn list_files(folder: &Path) -> Result<Vec<PathBuf>, JournalError> {
-    let failed = || JournalError::storage("list", folder);
+    let list_error = || JournalError::storage("list", folder);
     let mut paths = Vec::new();
-    for item in fs::read_dir(folder).map_err(failed())? {
-        paths.push(item.map_err(failed())?.path());
+    for item in fs::read_dir(folder).map_err(list_error())? {
+        paths.push(item.map_err(list_error())?.path());
     }
     Ok(paths)
 }
--- a/src/control/journal/replica_journal.rs
+++ b/src/control/journal/replica_journal.rs
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Removes the oldest segments that hold no entry after `drop_to`.
+    /// Removes the oldest segments that hold no entry after `drop_to`, but never the newest.
     fn compact(&mut self, drop_to: LogIndex) -> Result<(), JournalError> {
         while let [first, _, ..] = self.segments.as_slice()
             && first.last_index() <= drop_to
--- a/src/control/journal/tests/damage.rs
+++ b/src/control/journal/tests/damage.rs
@@ -25,11 +25,11 @@
         let entry = entry(index, 1, *size);
         journal
             .write_batch(&entries_batch(vec![entry.clone()]))
-            .expect("room");
+            .expect("a successful write");
         written.push(entry);
         let path = &files_ending_with(folder, ".segment")[0];
         let length = fs::metadata(path).expect("a file").len();
-        lengths.push(usize::try_from(length).expect("small"));
+        lengths.push(usize::try_from(length).expect("a small number"));
     }
     (written, lengths)
 }
@@ -46,7 +46,7 @@
     let path = files_ending_with(&folder, ".segment")[0].clone();
     let mut bytes = fs::read(&path).expect("a file");
     bytes[lengths[0] + 30] ^= 1;
-    fs::write(&path, bytes).expect("own file");
+    fs::write(&path, bytes).expect("a writable file");
     let opened = ReplicaJournal::open(folder.path(), DISK);
     let Err(JournalError::Damaged {
         path: named,
@@ -72,15 +72,15 @@
     for index in 1..=6 {
         journal
             .write_batch(&entries_batch(vec![entry(index, 1, 10)]))
-            .expect("room");
+            .expect("a successful write");
     }
     if snapshot {
         journal
             .write_batch(&snapshot_batch(2, 1, false, 2))
-            .expect("room");
+            .expect("a successful write");
     }
     drop(journal);
-    fs::remove_file(&files_ending_with(&folder, ".segment")[missing]).expect("own file");
+    fs::remove_file(&files_ending_with(&folder, ".segment")[missing]).expect("a writable file");
     assert!(is_refused(&folder));
 }
 
@@ -92,12 +92,12 @@
     for index in 1..=2 {
         journal
             .write_batch(&entries_batch(vec![entry(index, 1, 10)]))
-            .expect("room");
+            .expect("a successful write");
     }
     drop(journal);
     let path = files_ending_with(&folder, ".segment")[0].clone();
     let bytes = fs::read(&path).expect("a file");
-    fs::write(&path, &bytes[..bytes.len() - 1]).expect("own file");
+    fs::write(&path, &bytes[..bytes.len() - 1]).expect("a writable file");
     assert!(is_refused(&folder));
 }
 
@@ -106,7 +106,7 @@
     let folder = tempdir().expect("a temporary folder");
     let (written, _) = write_entries(&folder, &[10, 10]);
     let path = folder.path().join("log-00000000000000000002.segment");
-    fs::write(path, b"CYC").expect("own folder");
+    fs::write(path, b"CYC").expect("a writable folder");
     assert_eq!(open(&folder).1.entries, written);
 }
 
@@ -120,7 +120,7 @@
     let (mut journal, _) = open(&folder);
     journal
         .write_batch(&snapshot_batch(1, 1, false, 0))
-        .expect("room");
+        .expect("a successful write");
     drop(journal);
     let path = files_ending_with(&folder, suffix)[0].clone();
     let original = fs::read(&path).expect("a file");
@@ -128,7 +128,7 @@
         for flip in [0x01, 0x80, 0xff] {
             let mut bytes = original.clone();
             bytes[position] ^= flip;
-            fs::write(&path, bytes).expect("own file");
+            fs::write(&path, bytes).expect("a writable file");
             assert!(
                 is_refused(&folder),
                 "byte {position} of {suffix}, flip {flip}"
@@ -160,12 +160,12 @@
         if cut == from {
             bytes.extend(vec![0; zeros]);
         }
-        fs::write(&path, bytes).expect("own file");
+        fs::write(&path, bytes).expect("a writable file");
         let (mut journal, recovered) = open(&folder);
         prop_assert_eq!(&recovered.entries, &written[..=synced]);
         // Entries written after the cut are read back.
         let next = entry(synced as u64 + 2, 9, 5);
-        journal.write_batch(&entries_batch(vec![next.clone()])).expect("room");
+        journal.write_batch(&entries_batch(vec![next.clone()])).expect("a successful write");
         drop(journal);
         let (_journal, recovered) = open(&folder);
         prop_assert_eq!(recovered.entries.last(), Some(&next));
--- a/src/control/journal/tests/folder.rs
+++ b/src/control/journal/tests/folder.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn an_open_folder_can_not_be_opened_again() {
+fn an_open_folder_cannot_be_opened_again() {
     let folder = tempdir().expect("a temporary folder");
     let _open = open(&folder);
     let second = ReplicaJournal::open(folder.path(), DISK);
@@ -37,9 +37,9 @@
     let (mut journal, _) = open(&folder);
     journal
         .write_batch(&entries_batch(vec![entry(1, 1, 9)]))
-        .expect("room");
+        .expect("a successful write");
     drop(journal);
-    std::fs::remove_file(folder.path().join("hard-state")).expect("it is there");
+    std::fs::remove_file(folder.path().join("hard-state")).expect("an existing file");
     let refused = ReplicaJournal::open(folder.path(), DISK);
     assert!(matches!(refused, Err(JournalError::IdentityMissing { .. })));
 }
@@ -60,7 +60,7 @@
         snapshot_batch(14, 1, false, 12),
     ];
     for batch in &batches {
-        journal.write_batch(batch).expect("room");
+        journal.write_batch(batch).expect("a successful write");
     }
     drop(journal);
     let (_journal, recovered) = open(&folder);
@@ -87,12 +87,12 @@
     for index in 1..=30 {
         journal
             .write_batch(&entries_batch(vec![entry(index, 1, 10)]))
-            .expect("room");
+            .expect("a successful write");
     }
     assert_eq!(files_ending_with(&folder, ".segment").len(), 30);
     journal
         .write_batch(&snapshot_batch(28, 1, false, 20))
-        .expect("room");
+        .expect("a successful write");
     assert_eq!(files_ending_with(&folder, ".segment").len(), 10);
 }
 
@@ -101,10 +101,12 @@
     let folder = tempdir().expect("a temporary folder");
     let (mut journal, _) = open(&folder);
     let old: Vec<_> = (1..=9).map(|index| entry(index, 1, 10)).collect();
-    journal.write_batch(&entries_batch(old)).expect("room");
+    journal
+        .write_batch(&entries_batch(old))
+        .expect("a successful write");
     let mut batch = snapshot_batch(50, 3, true, 50);
     batch.entries = vec![entry(51, 3, 10)];
-    journal.write_batch(&batch).expect("room");
+    journal.write_batch(&batch).expect("a successful write");
     drop(journal);
     let (_journal, recovered) = open(&folder);
     assert_eq!(recovered.entries, [entry(51, 3, 10)]);
@@ -115,17 +117,19 @@
     let folder = tempdir().expect("a temporary folder");
     let (mut journal, _) = open(&folder);
     let old: Vec<_> = (1..=9).map(|index| entry(index, 1, 10)).collect();
-    journal.write_batch(&entries_batch(old)).expect("room");
+    journal
+        .write_batch(&entries_batch(old))
+        .expect("a successful write");
     // The snapshot is written, but the old entries are not removed.
     journal
         .write_batch(&snapshot_batch(5, 2, false, 0))
-        .expect("room");
+        .expect("a successful write");
     drop(journal);
     let (mut journal, recovered) = open(&folder);
     assert!(recovered.entries.is_empty());
     journal
         .write_batch(&entries_batch(vec![entry(6, 2, 10)]))
-        .expect("room");
+        .expect("a successful write");
     drop(journal);
     assert_eq!(open(&folder).1.entries, [entry(6, 2, 10)]);
 }
@@ -139,7 +143,7 @@
     std::fs::create_dir(&obstacle).expect("a writable folder");
     let failed = journal.write_batch(&state_batch(2));
     assert!(matches!(failed, Err(JournalError::Storage { .. })));
-    std::fs::remove_dir(&obstacle).expect("it is empty");
+    std::fs::remove_dir(&obstacle).expect("an empty folder");
     let later = journal.write_batch(&entries_batch(vec![entry(1, 1, 1)]));
     assert!(matches!(later, Err(JournalError::Closed { .. })));
 }
@@ -159,12 +163,12 @@
         for (term, (count, back, size)) in (1..).zip(sizes) {
             let last = expected.len() as u64;
             let first = last.saturating_sub(back) + 1;
-            expected.truncate(usize::try_from(first - 1).expect("small"));
+            expected.truncate(usize::try_from(first - 1).expect("a small number"));
             let entries: Vec<_> = (first..first + count)
                 .map(|index| entry(index, term, size))
                 .collect();
             expected.extend(entries.clone());
-            journal.write_batch(&entries_batch(entries)).expect("room");
+            journal.write_batch(&entries_batch(entries)).expect("a successful write");
         }
         drop(journal);
         prop_assert_eq!(open(&folder).1.entries, expected);
--- a/src/control/journal/tests/measures.rs
+++ b/src/control/journal/tests/measures.rs
@@ -32,14 +32,16 @@
                 .map(|index| entry(index, 1, ENTRY_BYTES))
                 .collect();
             let batch_start = Instant::now();
-            journal.write_batch(&entries_batch(entries)).expect("room");
+            journal
+                .write_batch(&entries_batch(entries))
+                .expect("a successful write");
             latencies.saturating_record(micros(batch_start.elapsed()));
             index = end;
         }
         let total = start.elapsed();
         println!(
             "entries per sync {group:>3}: {:>8.0} entries/s, sync p50 {} us, p99 {} us, max {} us",
-            f64::from(u32::try_from(ENTRIES).expect("few")) / total.as_secs_f64(),
+            f64::from(u32::try_from(ENTRIES).expect("a small number")) / total.as_secs_f64(),
             latencies.value_at_quantile(0.5),
             latencies.value_at_quantile(0.99),
             latencies.max(),
--- a/src/control/lease/lease_table.rs
+++ b/src/control/lease/lease_table.rs
@@ -13,8 +13,8 @@
 
 /// The time without a heartbeat after which a lease expires.
 pub(crate) const LEASE_MILLIS: SpanMillis = SpanMillis::new(15_000);
-/// The time without a heartbeat after which a target counts as silent when the lease of
-/// another target of its service expires.
+/// The time without a heartbeat after which a target counts as silent when leases of its
+/// service are decided.
 const SILENT_MILLIS: SpanMillis = SpanMillis::new(7_500);
 /// The time after which an expiry is requested again if it was not committed.
 const EXPIRE_RETRY_MILLIS: SpanMillis = SpanMillis::new(2_000);
@@ -133,9 +133,9 @@
         };
         let record = self.records.remove(slot);
         let service = record.holder.service;
-        if let Some(members) = self.slots_by_service.get_mut(&service) {
-            members.remove(&slot);
-            if members.is_empty() {
+        if let Some(slots) = self.slots_by_service.get_mut(&service) {
+            slots.remove(&slot);
+            if slots.is_empty() {
                 self.slots_by_service.remove(&service);
                 self.holds.remove(&service);
             }
--- a/src/control/lease/tests/mass_expiry.rs
+++ b/src/control/lease/tests/mass_expiry.rs
@@ -51,9 +51,9 @@
         renew(&mut table, holders[0], now);
         assert!(expired(&mut table, now).is_empty());
     }
-    let mut gone = expired(&mut table, 75_000);
-    gone.sort_by_key(|holder| holder.target);
-    assert_eq!(gone, holders[1..]);
+    let mut expired_holders = expired(&mut table, 75_000);
+    expired_holders.sort_by_key(|holder| holder.target);
+    assert_eq!(expired_holders, holders[1..]);
 }
 
 #[test]
@@ -87,8 +87,8 @@
     for holder in &holders[usize::from(silent)..] {
         renew(&mut table, *holder, 14_000);
     }
-    let gone = expired(&mut table, 15_000).len();
-    assert_eq!(gone, if expire { usize::from(silent) } else { 0 });
+    let expired_count = expired(&mut table, 15_000).len();
+    assert_eq!(expired_count, if expire { usize::from(silent) } else { 0 });
 }
 
 #[test]
@@ -100,7 +100,7 @@
     renew(&mut table, holders[4], 14_000);
     let decision = table.decide_expiries(ClockMillis::new(15_000));
     assert_eq!(decision.held.len(), 1);
-    let gone = (holders[5].target, holders[5].incarnation);
-    assert_eq!(decision.expired, [gone]);
+    let expired_target = (holders[5].target, holders[5].incarnation);
+    assert_eq!(decision.expired, [expired_target]);
     assert_eq!(table.holds(), 1);
 }
--- a/src/control/lease/tests/measures.rs
+++ b/src/control/lease/tests/measures.rs
@@ -38,8 +38,9 @@
 
 /// Returns the targets that send a heartbeat at the millisecond `now`.
 fn due_at(now: u64) -> impl Iterator<Item = usize> {
-    let first = usize::try_from(now % HEARTBEAT_PERIOD_MILLIS).expect("small");
-    (first..LEASES as usize).step_by(usize::try_from(HEARTBEAT_PERIOD_MILLIS).expect("small"))
+    let first = usize::try_from(now % HEARTBEAT_PERIOD_MILLIS).expect("a small number");
+    (first..LEASES as usize)
+        .step_by(usize::try_from(HEARTBEAT_PERIOD_MILLIS).expect("a small number"))
 }
 
 #[test]
@@ -78,7 +79,9 @@
     for now in 0..SIMULATED_MILLIS {
         for index in due_at(now) {
             let target = holders[index].target;
-            let deadline = deadlines.get_mut(&target).expect("kept");
+            let deadline = deadlines
+                .get_mut(&target)
+                .expect("a deadline of each target");
             order.remove(&(*deadline, target));
             *deadline = now + LEASE_MILLIS.millis();
             order.insert((*deadline, target));
--- a/src/control/lease/tests/registration_sync.rs
+++ b/src/control/lease/tests/registration_sync.rs
@@ -15,7 +15,7 @@
 };
 
 fn commit(state: &StateHandle, command: &ControlCommand) {
-    state.apply(&command.encode().expect("a command has bytes"));
+    state.apply(&command.encode().expect("an encodable command"));
 }
 
 async fn renew(keeper: &ActorRef<LeaseKeeper>, request: &AnnounceRequest) -> bool {
@@ -23,7 +23,7 @@
         target: request.target,
         incarnation: request.incarnation,
     };
-    keeper.ask(renewal).await.expect("a live keeper")
+    keeper.ask(renewal).await.expect("a running keeper")
 }
 
 #[tokio::test]
@@ -35,13 +35,13 @@
         &state,
         &ControlCommand::Apply(manifest(1, 0, &["barge"]).manifest),
     );
-    keeper.ask(TakeLeases).await.expect("a live keeper");
+    keeper.ask(TakeLeases).await.expect("a running keeper");
     commit(&state, &ControlCommand::Announce(old.clone()));
     assert!(renew(&keeper, &old).await);
     commit(&state, &ControlCommand::Announce(new.clone()));
     // The new incarnation sends a heartbeat before the keeper has synced either change.
     assert!(renew(&keeper, &new).await);
-    keeper.ask(DecideLeases).await.expect("a live keeper");
+    keeper.ask(DecideLeases).await.expect("a running keeper");
     assert!(renew(&keeper, &new).await);
     assert!(!renew(&keeper, &old).await);
     let withdrawal = ControlCommand::Withdraw(WithdrawRequest {
@@ -49,8 +49,8 @@
         incarnation: new.incarnation,
     });
     commit(&state, &withdrawal);
-    keeper.ask(DecideLeases).await.expect("a live keeper");
+    keeper.ask(DecideLeases).await.expect("a running keeper");
     assert!(!renew(&keeper, &new).await);
-    let count = keeper.ask(CountLeases).await.expect("a live keeper");
+    let count = keeper.ask(CountLeases).await.expect("a running keeper");
     assert_eq!(count.leases, 0);
 }
--- a/src/control/state/accepted_versions.rs
+++ b/src/control/state/accepted_versions.rs
@@ -4,7 +4,7 @@
 
 use crate::{key::FeedRevision, manifest::ManifestDigest};
 
-/// Accepted versions kept for recognising a resent manifest.
+/// The maximum number of accepted versions kept to recognise a resent manifest.
 const MAX_ACCEPTED_VERSIONS: usize = 4_096;
 
 /// One accepted version of the manifest.
--- a/src/control/state/manifest_state.rs
+++ b/src/control/state/manifest_state.rs
@@ -12,7 +12,7 @@
 
 /// The manifest in force, and the numbers of all services that ever existed.
 ///
-/// A service name keeps its number for good, since connection IDs may still carry it.
+/// A service name keeps its number forever, since connection IDs may still carry it.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct ManifestState {
     versions: AcceptedVersions,
--- a/src/control/state/registration_table.rs
+++ b/src/control/state/registration_table.rs
@@ -93,7 +93,7 @@
         })
     }
 
-    /// Removes an incarnation for good; returns its service if it was registered.
+    /// Removes and retires an incarnation; returns its service if it was registered.
     pub(super) fn withdraw(
         &mut self,
         key: TargetKey,
--- a/src/control/state/retired_incarnations.rs
+++ b/src/control/state/retired_incarnations.rs
@@ -4,7 +4,7 @@
 
 use crate::key::{IncarnationId, TargetKey};
 
-/// Retired incarnations kept at most.
+/// The maximum number of retired incarnations.
 const MAX_RETIRED_INCARNATIONS: usize = 16_384;
 
 /// Incarnations that were replaced or withdrawn, and whose late announcements are refused.
--- a/src/control/state/tests/generator.rs
+++ b/src/control/state/tests/generator.rs
@@ -11,7 +11,7 @@
     route::TargetPhase,
 };
 
-/// The service names in generated manifests and announcements.
+/// The service names in generated commands.
 pub(crate) const SERVICE_NAMES: [&str; 4] = ["barge", "logbook", "tavole", "raccolta"];
 
 /// Returns a configuration that generates the same cases in every run.
--- a/src/control/state/tests/manifest_rules.rs
+++ b/src/control/state/tests/manifest_rules.rs
@@ -13,7 +13,7 @@
 };
 
 fn execute(state: &mut ControlState, command: &ControlCommand) -> ControlOutcome {
-    let bytes = command.encode().expect("a command has bytes");
+    let bytes = command.encode().expect("an encodable command");
     state.apply(&bytes).outcome
 }
 
@@ -63,7 +63,7 @@
     let announce = ControlCommand::Announce(announcement("logbook", 1, 1));
     execute(&mut state, &announce);
     let removal = ControlCommand::Apply(manifest(2, 1, &["barge"]).manifest);
-    let transition = state.apply(&removal.encode().expect("a command has bytes"));
+    let transition = state.apply(&removal.encode().expect("an encodable command"));
     let changes: Vec<&RouteChange> = transition
         .changes
         .iter()
--- a/src/control/state/tests/measures.rs
+++ b/src/control/state/tests/measures.rs
@@ -26,7 +26,7 @@
     request.manifest.services = (0..SERVICES).map(spec).collect();
     let mut state = ControlState::new();
     let command = ControlCommand::Apply(request.manifest).encode();
-    let command = command.expect("a command has bytes");
+    let command = command.expect("an encodable command");
     let start = Instant::now();
     state.apply(&command);
     println!("manifest: {} bytes, {:?}", command.len(), start.elapsed());
@@ -38,10 +38,10 @@
     let (each, bytes) = (start.elapsed() / TARGETS, commands[0].len());
     println!("announcement: {bytes} bytes, {each:?}");
     let start = Instant::now();
-    let snapshot = state.snapshot().expect("a state has bytes");
+    let snapshot = state.snapshot().expect("an encodable state");
     println!("snapshot: {} bytes, {:?}", snapshot.len(), start.elapsed());
     let start = Instant::now();
-    let restored = ControlState::restore(&snapshot).expect("its own bytes");
+    let restored = ControlState::restore(&snapshot).expect("a valid snapshot");
     println!("restored: {:?}", start.elapsed());
     assert_eq!(restored, state);
 }
@@ -53,5 +53,5 @@
     request.target = TargetKey::new(SocketAddrV4::new((0x0a00_0000 + index).into(), 7_000));
     request.incarnation = IncarnationId::new(run);
     let command = ControlCommand::Announce(request).encode();
-    command.expect("a command has bytes")
+    command.expect("an encodable command")
 }
--- a/src/control/state/tests/registration_rules.rs
+++ b/src/control/state/tests/registration_rules.rs
@@ -10,7 +10,7 @@
 };
 
 fn execute(state: &mut ControlState, command: &ControlCommand) -> StateTransition {
-    state.apply(&command.encode().expect("a command has bytes"))
+    state.apply(&command.encode().expect("an encodable command"))
 }
 
 fn announce(state: &mut ControlState, request: &AnnounceRequest) -> ControlOutcome {
--- a/src/control/state/tests/sequences.rs
+++ b/src/control/state/tests/sequences.rs
@@ -15,7 +15,7 @@
 };
 
 fn execute(state: &mut ControlState, command: &ControlCommand) -> StateTransition {
-    state.apply(&command.encode().expect("a command has bytes"))
+    state.apply(&command.encode().expect("an encodable command"))
 }
 
 proptest! {
@@ -31,8 +31,8 @@
         for command in &commands[..snapshot_at] {
             execute(&mut state, command);
         }
-        let bytes = state.snapshot().expect("a state has bytes");
-        let mut restored = ControlState::restore(&bytes).expect("its own bytes");
+        let bytes = state.snapshot().expect("an encodable state");
+        let mut restored = ControlState::restore(&bytes).expect("a valid snapshot");
         prop_assert_eq!(&restored, &state);
         for command in &commands[snapshot_at..] {
             let transition = execute(&mut state, command);
--- a/src/control/store/control_store.rs
+++ b/src/control/store/control_store.rs
@@ -32,7 +32,7 @@
         &self,
         command: &ControlCommand,
     ) -> Result<ControlOutcome, CallRefusal> {
-        // A command that can't be encoded was not proposed, so it is surely not committed.
+        // A command that can't be encoded is never proposed, so it can't have been committed.
         let bytes = command.encode().map_err(|_| CallRefusal::NoQuorum)?;
         let outcome = match self {
             #[cfg(test)]
--- a/src/control/store/read_confirmer.rs
+++ b/src/control/store/read_confirmer.rs
@@ -7,10 +7,10 @@
 use crate::{clock::SpanMillis, control::api::CallRefusal, key::FeedRevision};
 
 /// The timeout of one confirmation by a majority.
-const CONFIRM_MILLIS: SpanMillis = SpanMillis::new(1_000);
+const CONFIRM_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(1_000);
 /// The time between two confirmations without requests.
-const IDLE_MILLIS: SpanMillis = SpanMillis::new(1_000);
-/// Reads that can wait for the next confirmation; further ones are refused.
+const IDLE_INTERVAL_MILLIS: SpanMillis = SpanMillis::new(1_000);
+/// The maximum number of reads that wait for the next confirmation; further ones are refused.
 const MAX_PENDING_READS: usize = 32_768;
 
 type Confirmation = Result<FeedRevision, CallRefusal>;
@@ -58,7 +58,7 @@
     mut receiver: mpsc::Receiver<oneshot::Sender<Confirmation>>,
     current: watch::Sender<bool>,
 ) {
-    let mut idle = interval(IDLE_MILLIS.duration());
+    let mut idle = interval(IDLE_INTERVAL_MILLIS.duration());
     idle.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut requests = Vec::new();
     loop {
@@ -70,7 +70,7 @@
             }
             _ = idle.tick() => {}
         }
-        let confirmation = timeout(CONFIRM_MILLIS.duration(), store.confirm_read())
+        let confirmation = timeout(CONFIRM_TIMEOUT_MILLIS.duration(), store.confirm_read())
             .await
             .unwrap_or(Err(CallRefusal::NoQuorum));
         current.send_if_modified(|was| {
--- a/src/control/store/tests/mod.rs
+++ b/src/control/store/tests/mod.rs
@@ -52,8 +52,8 @@
     assert_eq!(revision, FeedRevision::new(2));
     let expected = RegistrationChanges::Incremental(vec![(target, Some(holder))]);
     assert_eq!(changes, expected);
-    let bytes = state.snapshot().expect("a state has bytes");
-    state.restore(&bytes).expect("its own bytes");
+    let bytes = state.snapshot().expect("an encodable state");
+    state.restore(&bytes).expect("a valid snapshot");
     let (_, changes) = state.registration_changes(FeedRevision::new(1));
     assert_eq!(changes, RegistrationChanges::Full(vec![holder]));
 }
