--- a/src/control/feed/tests/budget.rs
+++ b/src/control/feed/tests/budget.rs
@@ -74,7 +74,7 @@
         budget.charge(reply.bytes(), now);
         sent += reply.bytes() + 900;
         let Ok(FeedReply::Delta(delta)) = serde_json::from_str(reply.text.get()) else {
-            panic!("the history still has the changes");
+            panic!("expected a delta");
         };
         in_force = delta.revision;
     }
--- a/src/control/feed/tests/convergence.rs
+++ b/src/control/feed/tests/convergence.rs
@@ -86,7 +86,7 @@
                 *in_force = snapshot.revision;
                 *routes = WatchedRoutes::from_snapshot(snapshot);
             }
-            FeedReply::Unchanged { .. } => panic!("an update is a delta or a snapshot"),
+            FeedReply::Unchanged { .. } => panic!("expected a delta or a snapshot"),
         }
     }
     unreachable!("the loop returns")
@@ -136,7 +136,10 @@
         }
         let newest = replica.state().revision();
         while in_force < newest {
-            let delta = replica.history().delta(scope, in_force, byte_limit).expect("a complete history");
+            let delta = replica
+                .history()
+                .delta(scope, in_force, byte_limit)
+                .expect("a complete history");
             prop_assert!(delta.revision > in_force);
             in_force = delta.revision;
             routes.execute(delta);
--- a/src/control/journal/journal_error.rs
+++ b/src/control/journal/journal_error.rs
@@ -21,7 +21,7 @@
         cause: io::Error,
     },
     /// Another process has locked the data folder.
-    #[error("another process uses the data folder {path}")]
+    #[error("another process holds the data folder's lock {path}")]
     #[diagnostic(help("give each replica a folder of its own"))]
     Locked {
         /// The lock file.
--- a/src/control/journal/tests/damage.rs
+++ b/src/control/journal/tests/damage.rs
@@ -49,14 +49,14 @@
     fs::write(&path, bytes).expect("a writable file");
     let opened = ReplicaJournal::open(folder.path(), DISK);
     let Err(JournalError::Damaged {
-        path: named,
+        path: reported_path,
         offset,
         ..
     }) = opened
     else {
         panic!("expected damage, got {opened:?}");
     };
-    assert_eq!(named, path);
+    assert_eq!(reported_path, path);
     assert_eq!(offset, lengths[0] as u64);
 }
 
--- a/src/control/journal/tests/folder.rs
+++ b/src/control/journal/tests/folder.rs
@@ -160,9 +160,9 @@
         let (journal, _) = open(&folder);
         let mut journal = journal.with_segment_bytes(segment_bytes);
         let mut expected = Vec::new();
-        for (term, (count, back, size)) in (1..).zip(sizes) {
+        for (term, (count, overlap, size)) in (1..).zip(sizes) {
             let last = expected.len() as u64;
-            let first = last.saturating_sub(back) + 1;
+            let first = last.saturating_sub(overlap) + 1;
             expected.truncate(usize::try_from(first - 1).expect("a small number"));
             let entries: Vec<_> = (first..first + count)
                 .map(|index| entry(index, term, size))
--- a/src/control/lease/tests/renewal.rs
+++ b/src/control/lease/tests/renewal.rs
@@ -14,8 +14,8 @@
     key::ServiceNumber,
 };
 
-pub(super) fn holder(service: u16, host: u8, run: u64) -> LeaseClaim {
-    let request = announcement("barge", host, run);
+pub(super) fn holder(service: u16, host: u8, incarnation: u64) -> LeaseClaim {
+    let request = announcement("barge", host, incarnation);
     LeaseClaim {
         target: request.target,
         incarnation: request.incarnation,
--- a/src/control/state/tests/generator.rs
+++ b/src/control/state/tests/generator.rs
@@ -36,27 +36,27 @@
         ControlCommand::Apply(manifest(replaces + step, replaces, &names).manifest)
     });
     let announce =
-        (0_usize..4, 1_u8..5, 1_u64..5, 1_u16..3).prop_map(|(name, host, run, weight)| {
-            let mut request = announcement(SERVICE_NAMES[name], host, run);
+        (0_usize..4, 1_u8..5, 1_u64..5, 1_u16..3).prop_map(|(name, host, incarnation, weight)| {
+            let mut request = announcement(SERVICE_NAMES[name], host, incarnation);
             request.weight = weight;
             if weight == 2 {
                 request.phase = TargetPhase::Leaving;
             }
             ControlCommand::Announce(request)
         });
-    let withdraw = (1_u8..5, 1_u64..5).prop_map(|(host, run)| {
-        let request = announcement(SERVICE_NAMES[0], host, run);
+    let withdraw = (1_u8..5, 1_u64..5).prop_map(|(host, incarnation)| {
+        let request = announcement(SERVICE_NAMES[0], host, incarnation);
         ControlCommand::Withdraw(WithdrawRequest {
             target: request.target,
             incarnation: request.incarnation,
         })
     });
-    let expire = prop::collection::vec((1_u8..5, 1_u64..5), 1..4).prop_map(|runs| {
-        let runs = runs.into_iter().map(|(host, run)| {
-            let request = announcement(SERVICE_NAMES[0], host, run);
+    let expire = prop::collection::vec((1_u8..5, 1_u64..5), 1..4).prop_map(|pairs| {
+        let pairs = pairs.into_iter().map(|(host, incarnation)| {
+            let request = announcement(SERVICE_NAMES[0], host, incarnation);
             (request.target, request.incarnation)
         });
-        ControlCommand::Expire(runs.collect())
+        ControlCommand::Expire(pairs.collect())
     });
     prop_oneof![4 => apply, 8 => announce, 1 => withdraw, 2 => expire]
 }
--- a/src/control/state/tests/measures.rs
+++ b/src/control/state/tests/measures.rs
@@ -48,10 +48,10 @@
 
 fn announce(index: u32) -> Vec<u8> {
     let name = format!("service-{:05}", index % SERVICES);
-    let run = u64::MAX / u64::from(index + 1);
-    let mut request = announcement(&name, 1, run);
+    let incarnation = u64::MAX / u64::from(index + 1);
+    let mut request = announcement(&name, 1, incarnation);
     request.target = TargetKey::new(SocketAddrV4::new((0x0a00_0000 + index).into(), 7_000));
-    request.incarnation = IncarnationId::new(run);
+    request.incarnation = IncarnationId::new(incarnation);
     let command = ControlCommand::Announce(request).encode();
     command.expect("an encodable command")
 }
