--- a/src/control/state/retired_incarnations.rs
+++ b/src/control/state/retired_incarnations.rs
@@ -11,6 +11,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct RetiredIncarnations {
     order: VecDeque<(TargetKey, IncarnationId)>,
+    #[serde(rename = "runs")]
     incarnations: BTreeSet<(TargetKey, IncarnationId)>,
 }
 
