--- a/src/control/api/announce_message.rs
+++ b/src/control/api/announce_message.rs
@@ -8,9 +8,9 @@
     route::TargetPhase,
 };
 
-/// An agent announces its target; the call `announce`.
+/// Request of the call `announce`: an agent registers its target.
 ///
-/// The same incarnation may announce again: the newest phase and weight hold.
+/// The same incarnation may announce again; the latest phase and weight apply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AnnounceRequest {
@@ -18,35 +18,35 @@
     pub service: String,
     /// The agent's tunnel address.
     pub target: TargetKey,
-    /// The run of the agent.
+    /// The agent's current run.
     pub incarnation: IncarnationId,
-    /// Where the target runs.
+    /// The region and failure domain that the target runs in.
     pub domain: DomainName,
-    /// The address at which the agent answers other agents.
+    /// The address on which the agent serves other agents.
     pub peer_address: SocketAddrV4,
-    /// The share of new connections; at least 1.
+    /// The target's relative share of new connections; at least 1.
     pub weight: u16,
-    /// Whether the target takes new work.
+    /// Whether the target accepts new work.
     pub phase: TargetPhase,
 }
 
-/// The registration is committed.
+/// Reply to `announce`; the registration is committed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnnounceReceipt {
     /// The number of the service.
     pub service: ServiceNumber,
     /// The time after which the lease expires without a heartbeat.
     pub lease: SpanMillis,
-    /// The revision from which the feed shows the registration.
+    /// The first feed revision that contains the registration.
     pub revision: FeedRevision,
 }
 
-/// An agent takes its target out for good; the call `withdraw`.
+/// Request of the call `withdraw`: an agent deregisters its target for good.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WithdrawRequest {
     /// The agent's tunnel address.
     pub target: TargetKey,
-    /// The run that is to be withdrawn; another run stays registered.
+    /// The run to deregister; a registration by another run stays.
     pub incarnation: IncarnationId,
 }
--- a/src/control/api/apply_message.rs
+++ b/src/control/api/apply_message.rs
@@ -5,23 +5,23 @@
     manifest::{Manifest, ManifestDigest},
 };
 
-/// An operator hands over a manifest; the call `apply`.
+/// Request of the call `apply`: an operator submits a manifest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ApplyRequest {
-    /// The whole manifest; it names the version that it replaces.
+    /// The complete manifest, which names the version it replaces.
     pub manifest: Manifest,
 }
 
-/// The manifest is accepted: committed by a majority and synced.
+/// Reply to `apply`; a majority has committed and synced the manifest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApplyReceipt {
     /// The accepted version.
     pub version: u64,
     /// The digest of the accepted content.
     pub digest: ManifestDigest,
-    /// The revision from which the feed shows the manifest.
+    /// The first feed revision that contains the manifest.
     pub revision: FeedRevision,
-    /// Whether the same content had been accepted before this call.
+    /// Whether the same content was already accepted before this call.
     pub resent: bool,
 }
--- a/src/control/api/call_name.rs
+++ b/src/control/api/call_name.rs
@@ -1,19 +1,19 @@
-/// The name of a JSON-RPC method that control answers.
+/// A JSON-RPC method of the control group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallName {
     /// Registers a target.
     Announce,
-    /// Takes a target out.
+    /// Deregisters a target.
     Withdraw,
     /// Renews a lease.
     Heartbeat,
-    /// Asks for changes of the routes.
+    /// Waits for route changes (long poll).
     Watch,
-    /// Hands over a manifest.
+    /// Submits a manifest.
     Apply,
-    /// Asks how the group does.
+    /// Returns the status of the group.
     Status,
-    /// Asks for the state of this replica.
+    /// Returns the state of the called replica.
     Dump,
 }
 
@@ -33,9 +33,9 @@
     }
 }
 
-/// The code of JSON-RPC errors whose data is a `CallRefusal`.
+/// The JSON-RPC error code of errors whose data is a `CallRefusal`.
 pub const REFUSAL_CODE: i32 = 1;
-/// The longest body of a call.
-pub const MOST_REQUEST_BYTES: usize = 16 * 1_024 * 1_024;
-/// The longest body of an answer.
-pub const MOST_REPLY_BYTES: usize = 32 * 1_024 * 1_024;
+/// The maximum size of a request body.
+pub const MAX_REQUEST_BYTES: usize = 16 * 1_024 * 1_024;
+/// The maximum size of a response body.
+pub const MAX_REPLY_BYTES: usize = 32 * 1_024 * 1_024;
--- a/src/control/api/call_refusal.rs
+++ b/src/control/api/call_refusal.rs
@@ -6,31 +6,31 @@
 
 use crate::{key::ServiceNumber, manifest::ManifestDigest};
 
-/// Why control refused a call; it travels as the data of a JSON-RPC error.
+/// Why control refused a call; sent as the data of a JSON-RPC error.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "refusal")]
 pub enum CallRefusal {
-    /// Another replica leads; ask there.
+    /// Another replica leads; the caller must call that one.
     #[error("this replica does not lead")]
     NotLeader {
         /// The leader's call address, if known.
         leader: Option<SocketAddrV4>,
     },
-    /// The replica can't confirm that it is current.
+    /// The replica can't confirm that its state is current.
     #[error("no majority of the control group answers; nothing was accepted")]
     NoQuorum,
-    /// The change may or may not be committed; ask again with the same content.
+    /// The change may or may not be committed; resend the same content.
     #[error("the outcome is unknown; send the same call again")]
     OutcomeUnknown,
     /// The manifest replaces a version that is not in force.
     #[error(
         "version {offered} replaces version {replaces}, but version {in_force} ({}) is in force",
-        digest_text(digest.as_ref())
+        format_digest(digest.as_ref())
     )]
     VersionConflict {
-        /// The version that was offered.
+        /// The submitted version.
         offered: u64,
-        /// The version that the offer replaces.
+        /// The version that the submitted manifest replaces.
         replaces: u64,
         /// The version in force.
         in_force: u64,
@@ -43,16 +43,16 @@
         /// Each broken rule, with its place in the document.
         faults: Vec<String>,
     },
-    /// Every service number was given out, and none may be given out twice.
+    /// All service numbers are assigned, and a number is never reused for another name.
     #[error("no service number is left for a new name; keep to the names used so far")]
     NoServiceNumber,
-    /// No service of that name is in force.
+    /// The manifest in force has no service of that name.
     #[error("no service named {name} is in force")]
     UnknownService {
-        /// The name that was asked for.
+        /// The requested name.
         name: String,
     },
-    /// Another, newer run holds the registration.
+    /// A newer run of the agent holds the registration.
     #[error("another run of the agent holds this registration")]
     StaleIncarnation,
     /// This run of the agent is registered under another service.
@@ -67,16 +67,16 @@
         /// The broken rule.
         fault: AnnounceFault,
     },
-    /// The replica has too much work; come back later.
+    /// The replica sheds load; the caller must retry later.
     #[error("overloaded; come back in {retry_after_millis} ms")]
     Overloaded {
-        /// When to come back.
+        /// The time to wait before the next attempt.
         retry_after_millis: u64,
     },
 }
 
 impl CallRefusal {
-    /// Returns the value of the metric's label `outcome`.
+    /// Returns the value of the metric label `outcome`.
     #[must_use]
     pub const fn label(&self) -> &'static str {
         match self {
@@ -94,9 +94,9 @@
         }
     }
 
-    /// Returns whether another replica, or the same one later, may accept the call.
+    /// Returns whether a retry may succeed, at another replica or at this one later.
     #[must_use]
-    pub const fn is_passing(&self) -> bool {
+    pub const fn is_transient(&self) -> bool {
         matches!(
             self,
             Self::NotLeader { .. }
@@ -107,21 +107,21 @@
     }
 }
 
-/// Which rule an announcement breaks.
+/// The rule that an announcement breaks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AnnounceFault {
     /// The weight is zero.
     #[error("the weight is 0; allowed: 1 to 65535")]
     ZeroWeight,
-    /// A name of the place is empty or too long.
+    /// The region's or failure domain's name is empty or too long.
     #[error("region and failure domain take 1 to 64 bytes each")]
     DomainLength,
-    /// The target's address can't be reached.
+    /// The target's IP address is unspecified or its port is 0.
     #[error("the target's address needs an IP number and a port other than 0")]
     Address,
 }
 
-fn digest_text(digest: Option<&ManifestDigest>) -> String {
+fn format_digest(digest: Option<&ManifestDigest>) -> String {
     digest.map_or_else(|| "none".to_owned(), ToString::to_string)
 }
--- a/src/control/api/dump_message.rs
+++ b/src/control/api/dump_message.rs
@@ -7,34 +7,34 @@
     route::TargetRoute,
 };
 
-/// The state of one control replica; the call `dump`.
+/// Reply to `dump`: the state of one control replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlDump {
     /// The replica's name from its settings.
     pub name: String,
-    /// What an operator sees of the group.
+    /// The group's status as this replica sees it.
     pub status: ControlStatus,
-    /// The revision that the oldest held change comes after.
+    /// The revision before the oldest change in the feed's history.
     pub history_floor: FeedRevision,
-    /// The changes that the feed holds.
+    /// The number of changes in the feed's history.
     pub history_changes: usize,
-    /// The leases that are kept here; none unless this replica leads.
+    /// The number of leases tracked here; zero unless this replica leads.
     pub leases: usize,
-    /// The services whose silent leases are held.
+    /// The number of services whose overdue leases are held instead of expired.
     pub lease_holds: usize,
-    /// The services in force, up to a bound.
+    /// The services in force, truncated at a limit.
     pub services: Vec<DumpedService>,
-    /// The registered targets, up to a bound.
+    /// The registered targets, truncated at a limit.
     pub targets: Vec<TargetRoute>,
 }
 
-/// One service of a dump.
+/// One service in a dump.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DumpedService {
-    /// The number that packets carry.
+    /// The service's number in packets.
     pub number: ServiceNumber,
-    /// The registered targets.
+    /// The number of registered targets.
     pub targets: usize,
-    /// What the manifest says.
+    /// The service's entry in the manifest.
     pub spec: ServiceSpec,
 }
--- a/src/control/api/heartbeat_message.rs
+++ b/src/control/api/heartbeat_message.rs
@@ -5,25 +5,25 @@
     key::{IncarnationId, TargetKey},
 };
 
-/// An agent renews its lease; the call `heartbeat`.
+/// Request of the call `heartbeat`: an agent renews its lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HeartbeatRequest {
     /// The agent's tunnel address.
     pub target: TargetKey,
-    /// The run of the agent.
+    /// The agent's current run.
     pub incarnation: IncarnationId,
 }
 
-/// What became of the renewal.
+/// Reply to `heartbeat`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "lease")]
 pub enum HeartbeatReceipt {
-    /// The lease runs again from now.
+    /// The lease is renewed from now on.
     Renewed {
-        /// The time after which it expires without a heartbeat.
+        /// The time after which the lease expires without a heartbeat.
         span: SpanMillis,
     },
-    /// The registration is gone; announce again.
+    /// This run is not registered; the agent must announce again.
     Unknown,
 }
--- a/src/control/api/mod.rs
+++ b/src/control/api/mod.rs
@@ -1,4 +1,4 @@
-//! Messages between control and the other processes, all JSON-RPC.
+//! JSON-RPC messages between the control group and its clients.
 
 mod announce_message;
 mod apply_message;
@@ -12,7 +12,7 @@
 
 pub use announce_message::{AnnounceReceipt, AnnounceRequest, WithdrawRequest};
 pub use apply_message::{ApplyReceipt, ApplyRequest};
-pub use call_name::{CallName, MOST_REPLY_BYTES, MOST_REQUEST_BYTES, REFUSAL_CODE};
+pub use call_name::{CallName, MAX_REPLY_BYTES, MAX_REQUEST_BYTES, REFUSAL_CODE};
 pub use call_refusal::{AnnounceFault, CallRefusal};
 pub use dump_message::{ControlDump, DumpedService};
 pub use heartbeat_message::{HeartbeatReceipt, HeartbeatRequest};
--- a/src/control/api/packed_routes.rs
+++ b/src/control/api/packed_routes.rs
@@ -1,9 +1,9 @@
 use serde::{Deserializer, Serialize, Serializer, de};
 use serde_with::{DeserializeAs, SerializeAs, base64::Base64};
 
-/// Carries routes within JSON as base64 of their postcard encoding.
+/// Serialises routes in JSON as base64 of their postcard encoding.
 ///
-/// A target takes about a third of the bytes that plain JSON needs.
+/// A target needs about a third of the bytes of plain JSON.
 pub(super) struct PackedRoutes;
 
 impl<T: Serialize> SerializeAs<T> for PackedRoutes {
--- a/src/control/api/status_message.rs
+++ b/src/control/api/status_message.rs
@@ -8,12 +8,12 @@
     manifest::ManifestDigest,
 };
 
-/// Asks for the status or the dump; the calls `status` and `dump`.
+/// Request of the calls `status` and `dump`; it has no fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StatusRequest {}
 
-/// What an operator sees of the control group; the call `status`.
+/// Reply to `status`: the state of the control group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlStatus {
     /// The revision of the confirmed state.
@@ -22,40 +22,40 @@
     pub manifest_version: u64,
     /// The digest of the manifest in force, if there is one.
     pub manifest_digest: Option<ManifestDigest>,
-    /// The revision at which that manifest was accepted.
+    /// The revision at which the manifest in force was accepted.
     pub manifest_revision: FeedRevision,
-    /// The services in force.
+    /// The number of services in force.
     pub services: usize,
-    /// The registered targets.
+    /// The number of registered targets.
     pub targets: usize,
-    /// The replicas, as the leader sees them.
+    /// The replicas of the group as the called replica sees them.
     pub replicas: Vec<ReplicaStatus>,
-    /// All watchers of this replica's feed.
+    /// The number of watchers of this replica's feed.
     pub watcher_count: usize,
-    /// Those watchers that lag furthest, up to a bound.
+    /// The watchers that lag furthest, truncated at a limit.
     pub watchers: Vec<WatcherStatus>,
 }
 
 /// One replica of the control group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
-    /// Where the replica answers calls.
+    /// The replica's call address.
     pub address: SocketAddrV4,
-    /// What it does in the group.
+    /// The replica's role in the group.
     pub role: ReplicaRole,
-    /// The log entries that it holds durably.
+    /// The last log index that the replica holds durably.
     pub held: u64,
 }
 
-/// What a replica does in the group.
+/// A replica's role in the group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReplicaRole {
-    /// Orders the changes.
+    /// Orders and replicates all changes.
     Leader,
-    /// Holds the log and votes.
+    /// Replicates the log and votes.
     Follower,
-    /// Holds the log and does not count yet.
+    /// Replicates the log without a vote.
     Learner,
 }
 
@@ -64,10 +64,10 @@
 pub struct WatcherStatus {
     /// The watcher's name from its settings.
     pub name: WatcherName,
-    /// Where it runs.
+    /// The region and failure domain that the watcher runs in.
     pub domain: DomainName,
-    /// The revision that it reported to be in force.
+    /// The revision in force at the watcher, from its last call.
     pub in_force: FeedRevision,
-    /// The milliseconds since it was last heard.
+    /// The milliseconds since its last call.
     pub silent_millis: u64,
 }
--- a/src/control/api/watch_message.rs
+++ b/src/control/api/watch_message.rs
@@ -8,7 +8,7 @@
     route::{RouteDelta, RouteSnapshot},
 };
 
-/// The name of a watcher, from its settings.
+/// The name and kind of a watcher, from its settings.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WatcherName {
@@ -18,48 +18,48 @@
     Agent(String),
 }
 
-/// Asks for what came after a revision; the call `watch`.
+/// Request of the long-poll call `watch`: returns the changes after a revision.
 ///
-/// The answer waits until there is something new or `wait` has passed.
+/// The reply is held back until there is a change or `wait` has passed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WatchRequest {
-    /// Who asks.
+    /// The watcher's name.
     pub watcher: WatcherName,
-    /// Where the watcher runs.
+    /// The region and failure domain that the watcher runs in.
     pub domain: DomainName,
-    /// What the watcher wants to hear of.
+    /// The part of the routes to watch.
     pub scope: WatchScope,
-    /// The revision that is in force at the watcher.
+    /// The revision in force at the watcher.
     pub in_force: FeedRevision,
-    /// How long the answer may wait.
+    /// The longest time to hold back the reply.
     pub wait: SpanMillis,
 }
 
-/// The part of the routes that a watcher wants.
+/// The part of the routes that a watcher follows.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WatchScope {
     /// Every service.
     All,
-    /// The service of this name.
+    /// The service with this name.
     Service(String),
 }
 
-/// What came after the revision that was asked for.
+/// Reply to `watch`: the changes after the requested revision.
 ///
-/// A delta may stop short of the newest revision; the watcher asks again.
+/// A delta may end before the newest revision; the watcher then calls again.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FeedReply {
-    /// Nothing; the replica confirmed that it is current.
+    /// No changes; the replica confirmed that its state is current.
     Unchanged {
-        /// The confirmed revision; a scoped watcher may go on from here.
+        /// The confirmed revision, from which a scoped watcher may continue.
         revision: FeedRevision,
     },
-    /// The changes since then.
+    /// The changes since the requested revision.
     Delta(#[serde_as(as = "PackedRoutes")] RouteDelta),
-    /// Everything, since the changes are no longer held.
+    /// All routes, sent when the history no longer has the changes.
     Snapshot(#[serde_as(as = "PackedRoutes")] RouteSnapshot),
 }
--- a/src/control/client/control_client.rs
+++ b/src/control/client/control_client.rs
@@ -10,7 +10,8 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 use super::{
-    CallPlan, ControlClientError, LinkFault, PlanStep, ReplicaLink, replica_link::EncodedCall,
+    ControlClientError, FailoverPlan, FailoverStep, LinkFault, ReplicaClient,
+    replica_client::EncodedCall,
 };
 use crate::{
     clock::{ProcessClock, SpanMillis},
@@ -23,21 +24,21 @@
     secret::SecretStore,
 };
 
-/// The time for one attempt at one replica, apart from a watcher's wait.
-const ATTEMPT_MILLIS: SpanMillis = SpanMillis::new(2_000);
-/// The time for a whole call with all its attempts.
-const CALL_MILLIS: SpanMillis = SpanMillis::new(6_000);
-/// The time for one attempt to hand over a manifest, which may be long.
-const APPLY_ATTEMPT_MILLIS: SpanMillis = SpanMillis::new(5_000);
-/// The time for handing over a manifest with all its attempts.
-const APPLY_MILLIS: SpanMillis = SpanMillis::new(15_000);
-/// The links to replicas that are kept at once.
-const MOST_LINKS: usize = 64;
+/// The timeout of one attempt at one replica, without the wait of a watch call.
+const ATTEMPT_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(2_000);
+/// The timeout of a call with all its attempts.
+const CALL_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(6_000);
+/// The timeout of one attempt of `apply`; manifests can be large.
+const APPLY_ATTEMPT_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(5_000);
+/// The timeout of `apply` with all its attempts.
+const APPLY_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(15_000);
+/// The maximum number of replica clients; at the limit all are dropped.
+const MAX_REPLICA_CLIENTS: usize = 64;
 
-/// Calls the control group; clones share their connections.
+/// A client of the control group; clones share their connections.
 ///
-/// Each call has a deadline. A replica that is silent or refuses is left for
-/// another one, and later calls start at the replica that answered last.
+/// Each call has a deadline and fails over from a replica that does not answer
+/// or refuses. Later calls start at the replica that answered last.
 #[derive(Debug, Clone)]
 pub struct ControlClient {
     shared: Arc<ClientShared>,
@@ -48,40 +49,40 @@
     addresses: Vec<SocketAddrV4>,
     secret: SecretStore,
     clock: ProcessClock,
-    links: Mutex<HashMap<SocketAddrV4, Arc<ReplicaLink>>>,
+    clients: Mutex<HashMap<SocketAddrV4, Arc<ReplicaClient>>>,
     leader: Mutex<Option<SocketAddrV4>>,
     leader_start: AtomicUsize,
-    reader_start: AtomicUsize,
+    any_start: AtomicUsize,
 }
 
-/// How long a call may take.
+/// The timeouts of one attempt and of a call with all its attempts.
 #[derive(Debug, Clone, Copy)]
-struct CallLimits {
+struct CallTimeouts {
     attempt: SpanMillis,
-    whole: SpanMillis,
+    total: SpanMillis,
 }
 
-/// Whom a call is for.
+/// Which replicas can answer a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum CallAudience {
-    /// The leader, which alone changes anything.
+enum ReplicaChoice {
+    /// Only the leader, which makes all changes.
     Leader,
-    /// Any replica that is current.
-    Reader,
+    /// Any replica whose state is current.
+    AnyCurrent,
 }
 
 impl ControlClient {
-    /// Prepares calls of the replicas at `addresses`; nothing is sent yet.
+    /// Creates a client of the replicas at `addresses` without connecting.
     ///
-    /// Readers start at a random replica, so that many of them spread out.
+    /// Reads start at a random replica to spread many clients over the group.
     #[must_use]
     pub fn new(addresses: Vec<SocketAddrV4>, secret: SecretStore) -> Self {
         Self {
             shared: Arc::new(ClientShared {
-                reader_start: AtomicUsize::new(usize::from(rand::random::<u16>())),
+                any_start: AtomicUsize::new(usize::from(rand::random::<u16>())),
                 leader_start: AtomicUsize::new(0),
                 leader: Mutex::new(None),
-                links: Mutex::new(HashMap::new()),
+                clients: Mutex::new(HashMap::new()),
                 clock: ProcessClock::new(),
                 addresses,
                 secret,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Returns the replicas that this client was given.
+    /// Returns the configured replicas.
     #[must_use]
     pub fn addresses(&self) -> &[SocketAddrV4] {
         &self.shared.addresses
@@ -99,7 +100,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the group refuses, is not reached, or its answer is lost.
+    /// Fails when the group refuses, is unreachable, or its reply is lost.
     pub async fn announce(
         &self,
         request: &AnnounceRequest,
@@ -107,11 +108,11 @@
         self.call_leader(CallName::Announce, request).await
     }
 
-    /// Takes a target out for good; returns the revision from which it is gone.
+    /// Deregisters a target; returns the first revision without it.
     ///
     /// # Errors
     ///
-    /// Fails when the group refuses, is not reached, or its answer is lost.
+    /// Fails when the group refuses, is unreachable, or its reply is lost.
     pub async fn withdraw(
         &self,
         request: &WithdrawRequest,
@@ -123,7 +124,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the group refuses, is not reached, or its answer is lost.
+    /// Fails when the group refuses, is unreachable, or its reply is lost.
     pub async fn heartbeat(
         &self,
         request: &HeartbeatRequest,
@@ -131,72 +132,82 @@
         self.call_leader(CallName::Heartbeat, request).await
     }
 
-    /// Hands over a manifest.
+    /// Submits a manifest.
     ///
     /// # Errors
     ///
-    /// Fails when the group refuses, is not reached, or its answer is lost;
-    /// after a lost answer the same manifest can be handed over again.
+    /// Fails when the group refuses, is unreachable, or its reply is lost;
+    /// after a lost reply the same manifest can be submitted again.
     pub async fn apply(&self, request: &ApplyRequest) -> Result<ApplyReceipt, ControlClientError> {
-        let limits = CallLimits {
-            attempt: APPLY_ATTEMPT_MILLIS,
-            whole: APPLY_MILLIS,
+        let timeouts = CallTimeouts {
+            attempt: APPLY_ATTEMPT_TIMEOUT_MILLIS,
+            total: APPLY_TIMEOUT_MILLIS,
         };
-        self.call(CallAudience::Leader, CallName::Apply, request, limits)
+        self.call(ReplicaChoice::Leader, CallName::Apply, request, timeouts)
             .await
     }
 
-    /// Asks for what came after a revision; the answer may wait as requested.
+    /// Returns the changes after a revision, waiting for them as long as requested.
     ///
     /// # Errors
     ///
-    /// Fails when no replica that is current is reached.
+    /// Fails when no current replica is reachable.
     pub async fn watch(&self, request: &WatchRequest) -> Result<FeedReply, ControlClientError> {
-        let limits = CallLimits {
-            attempt: SpanMillis::new(request.wait.millis() + ATTEMPT_MILLIS.millis()),
-            whole: SpanMillis::new(request.wait.millis() * 2 + CALL_MILLIS.millis()),
+        let timeouts = CallTimeouts {
+            attempt: SpanMillis::new(request.wait.millis() + ATTEMPT_TIMEOUT_MILLIS.millis()),
+            total: SpanMillis::new(request.wait.millis() * 2 + CALL_TIMEOUT_MILLIS.millis()),
         };
-        self.call(CallAudience::Reader, CallName::Watch, request, limits)
-            .await
+        self.call(
+            ReplicaChoice::AnyCurrent,
+            CallName::Watch,
+            request,
+            timeouts,
+        )
+        .await
     }
 
-    /// Asks how the group does, at any replica that is current.
+    /// Returns the group's status from any current replica.
     ///
     /// # Errors
     ///
-    /// Fails when no such replica is reached.
+    /// Fails when no current replica is reachable.
     pub async fn status(&self) -> Result<ControlStatus, ControlClientError> {
-        let limits = usual_limits();
+        let timeouts = default_timeouts();
         let request = StatusRequest {};
-        self.call(CallAudience::Reader, CallName::Status, &request, limits)
-            .await
+        self.call(
+            ReplicaChoice::AnyCurrent,
+            CallName::Status,
+            &request,
+            timeouts,
+        )
+        .await
     }
 
-    /// Asks the one replica at `address` how it does, and who watches it.
+    /// Returns the status from the replica at `address`, with the watchers of its feed.
     ///
     /// # Errors
     ///
-    /// Fails when this replica does not answer, or is not current.
+    /// Fails when this replica does not answer or is not current.
     pub async fn status_at(&self, address: SocketAddrV4) -> Result<ControlStatus, LinkFault> {
-        self.ask_at(address, CallName::Status).await
+        self.call_replica(address, CallName::Status).await
     }
 
-    /// Asks the one replica at `address` for its state.
+    /// Returns the state of the replica at `address`.
     ///
     /// # Errors
     ///
     /// Fails when this replica does not answer.
     pub async fn dump_at(&self, address: SocketAddrV4) -> Result<ControlDump, LinkFault> {
-        self.ask_at(address, CallName::Dump).await
+        self.call_replica(address, CallName::Dump).await
     }
 
-    async fn ask_at<R: DeserializeOwned>(
+    async fn call_replica<R: DeserializeOwned>(
         &self,
         address: SocketAddrV4,
         name: CallName,
     ) -> Result<R, LinkFault> {
         let call = EncodedCall::new(name, &StatusRequest {})?;
-        self.attempt(address, &call, ATTEMPT_MILLIS).await
+        self.attempt(address, &call, ATTEMPT_TIMEOUT_MILLIS).await
     }
 
     async fn call_leader<Q: Serialize, R: DeserializeOwned>(
@@ -204,55 +215,55 @@
         name: CallName,
         request: &Q,
     ) -> Result<R, ControlClientError> {
-        self.call(CallAudience::Leader, name, request, usual_limits())
+        self.call(ReplicaChoice::Leader, name, request, default_timeouts())
             .await
     }
 
     async fn call<Q: Serialize, R: DeserializeOwned>(
         &self,
-        audience: CallAudience,
+        choice: ReplicaChoice,
         name: CallName,
         request: &Q,
-        limits: CallLimits,
+        timeouts: CallTimeouts,
     ) -> Result<R, ControlClientError> {
         let unreachable = |last| ControlClientError::Unreachable { attempts: 0, last };
         let call = EncodedCall::new(name, request).map_err(unreachable)?;
         if self.shared.addresses.is_empty() {
             return Err(unreachable(LinkFault::NoConnection));
         }
-        let deadline = self.shared.clock.now().after(limits.whole);
-        let start = self.start(audience).load(Ordering::Relaxed);
-        let mut plan = CallPlan::new(&self.shared.addresses, start, deadline);
-        let mut address = match (audience, self.known_leader()) {
-            (CallAudience::Leader, Some(leader)) => leader,
-            _ => plan.take_next(),
+        let deadline = self.shared.clock.now().after(timeouts.total);
+        let start_index = self.start_index(choice).load(Ordering::Relaxed);
+        let mut plan = FailoverPlan::new(&self.shared.addresses, start_index, deadline);
+        let mut address = match (choice, self.known_leader()) {
+            (ReplicaChoice::Leader, Some(leader)) => leader,
+            _ => plan.next_address(),
         };
         loop {
-            let left = deadline.since(self.shared.clock.now());
-            let limit = limits.attempt.min(left);
-            let fault = match self.attempt(address, &call, limit).await {
+            let remaining = deadline.since(self.shared.clock.now());
+            let attempt_timeout = timeouts.attempt.min(remaining);
+            let fault = match self.attempt(address, &call, attempt_timeout).await {
                 Ok(reply) => {
-                    self.remember(audience, address);
+                    self.record_success(choice, address);
                     return Ok(reply);
                 }
                 Err(fault) => fault,
             };
-            if audience == CallAudience::Leader {
+            if choice == ReplicaChoice::Leader {
                 self.forget_leader(address);
             }
             let now = self.shared.clock.now();
-            let step = plan.record(fault, now, &mut rand::rng());
+            let step = plan.record_fault(fault, now, &mut rand::rng());
             match step {
-                PlanStep::Retry {
+                FailoverStep::Retry {
                     address: next,
                     pause,
                 } => {
-                    // Later calls leave the failed replica aside as well.
-                    self.start_at(audience, next);
+                    // Later calls skip the failed replica too.
+                    self.set_start(choice, next);
                     tokio::time::sleep(pause.duration()).await;
                     address = next;
                 }
-                PlanStep::Fail(error) => return Err(error),
+                FailoverStep::Fail(error) => return Err(error),
             }
         }
     }
@@ -261,37 +272,37 @@
         &self,
         address: SocketAddrV4,
         call: &EncodedCall,
-        limit: SpanMillis,
+        attempt_timeout: SpanMillis,
     ) -> Result<R, LinkFault> {
-        let link = self.link(address)?;
-        let reply = link.call(call, limit).await;
+        let client = self.client(address)?;
+        let reply = client.call(call, attempt_timeout).await;
         if matches!(reply, Err(LinkFault::NoAnswer)) {
-            // Its idle connections may be as silent as this one.
-            self.drop_link(address, &link);
+            // The idle connections to this replica may be dead as well.
+            self.discard_client(address, &client);
         }
         reply
     }
 
-    fn link(&self, address: SocketAddrV4) -> Result<Arc<ReplicaLink>, LinkFault> {
-        let mut links = lock(&self.shared.links);
-        if let Some(link) = links.get(&address) {
-            return Ok(Arc::clone(link));
+    fn client(&self, address: SocketAddrV4) -> Result<Arc<ReplicaClient>, LinkFault> {
+        let mut clients = lock(&self.shared.clients);
+        if let Some(client) = clients.get(&address) {
+            return Ok(Arc::clone(client));
         }
-        if links.len() >= MOST_LINKS {
-            links.clear();
+        if clients.len() >= MAX_REPLICA_CLIENTS {
+            clients.clear();
         }
-        let link = Arc::new(ReplicaLink::new(address, self.shared.secret.clone())?);
-        links.insert(address, Arc::clone(&link));
-        Ok(link)
+        let client = Arc::new(ReplicaClient::new(address, self.shared.secret.clone())?);
+        clients.insert(address, Arc::clone(&client));
+        Ok(client)
     }
 
-    fn drop_link(&self, address: SocketAddrV4, link: &Arc<ReplicaLink>) {
-        let mut links = lock(&self.shared.links);
-        if links
+    fn discard_client(&self, address: SocketAddrV4, client: &Arc<ReplicaClient>) {
+        let mut clients = lock(&self.shared.clients);
+        if clients
             .get(&address)
-            .is_some_and(|held| Arc::ptr_eq(held, link))
+            .is_some_and(|current| Arc::ptr_eq(current, client))
         {
-            links.remove(&address);
+            clients.remove(&address);
         }
     }
 
@@ -306,32 +317,32 @@
         }
     }
 
-    fn remember(&self, audience: CallAudience, address: SocketAddrV4) {
-        if audience == CallAudience::Leader {
+    fn record_success(&self, choice: ReplicaChoice, address: SocketAddrV4) {
+        if choice == ReplicaChoice::Leader {
             *lock(&self.shared.leader) = Some(address);
         }
-        self.start_at(audience, address);
+        self.set_start(choice, address);
     }
 
-    fn start_at(&self, audience: CallAudience, address: SocketAddrV4) {
+    fn set_start(&self, choice: ReplicaChoice, address: SocketAddrV4) {
         let addresses = &self.shared.addresses;
-        if let Some(index) = addresses.iter().position(|known| *known == address) {
-            self.start(audience).store(index, Ordering::Relaxed);
+        if let Some(index) = addresses.iter().position(|listed| *listed == address) {
+            self.start_index(choice).store(index, Ordering::Relaxed);
         }
     }
 
-    fn start(&self, audience: CallAudience) -> &AtomicUsize {
-        match audience {
-            CallAudience::Leader => &self.shared.leader_start,
-            CallAudience::Reader => &self.shared.reader_start,
+    fn start_index(&self, choice: ReplicaChoice) -> &AtomicUsize {
+        match choice {
+            ReplicaChoice::Leader => &self.shared.leader_start,
+            ReplicaChoice::AnyCurrent => &self.shared.any_start,
         }
     }
 }
 
-const fn usual_limits() -> CallLimits {
-    CallLimits {
-        attempt: ATTEMPT_MILLIS,
-        whole: CALL_MILLIS,
+const fn default_timeouts() -> CallTimeouts {
+    CallTimeouts {
+        attempt: ATTEMPT_TIMEOUT_MILLIS,
+        total: CALL_TIMEOUT_MILLIS,
     }
 }
 
--- a/src/control/client/link_fault.rs
+++ b/src/control/client/link_fault.rs
@@ -10,58 +10,60 @@
     proof::ProofError,
 };
 
-/// Why one replica gave no answer to a call.
+/// Why a call to one replica failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 pub enum LinkFault {
     /// The replica refused the call.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Refused(#[from] CallRefusal),
-    /// No connection could be made; nothing was sent.
-    #[error("no connection")]
+    /// The connection could not be established; nothing was sent.
+    #[error("the connection could not be established")]
     NoConnection,
-    /// The replica did not accept the proof of the call; nothing was executed.
-    #[error("the proof was refused; compare the secrets and the clocks")]
+    /// The replica rejected the proof of the call, which was not executed.
+    #[error(
+        "the replica rejected the proof of the call; compare the secrets and clocks of both hosts"
+    )]
     ProofRefused,
-    /// The call may have been sent, and no whole answer came in time.
-    #[error("no answer in time")]
+    /// The call may have been sent, but no complete reply arrived in time.
+    #[error("timed out without a reply")]
     NoAnswer,
-    /// The answer did not prove that the replica holds the secret.
-    #[error("the answer is not proven: {0}")]
-    ReplyUnproven(ProofError),
-    /// The answer is none that this client understands.
-    #[error("the answer is not understood")]
-    NotUnderstood,
+    /// The reply does not prove that the replica holds the deployment secret.
+    #[error("the proof of the reply is invalid: {0}")]
+    ReplyProofInvalid(ProofError),
+    /// The call could not be encoded, or the reply is none that the call allows.
+    #[error("JSON-RPC protocol error")]
+    Protocol,
 }
 
 impl LinkFault {
-    /// Returns whether the call can't have been executed.
+    /// Returns whether the call was certainly not executed.
     #[must_use]
-    pub const fn is_not_run(&self) -> bool {
+    pub const fn is_not_executed(&self) -> bool {
         match self {
             Self::Refused(refusal) => !matches!(refusal, CallRefusal::OutcomeUnknown),
             Self::NoConnection | Self::ProofRefused => true,
-            Self::NoAnswer | Self::ReplyUnproven(_) | Self::NotUnderstood => false,
+            Self::NoAnswer | Self::ReplyProofInvalid(_) | Self::Protocol => false,
         }
     }
 
-    /// Sorts an error of the JSON-RPC client.
-    pub(super) fn sort(error: &RpcError) -> Self {
+    /// Classifies an error of the JSON-RPC client.
+    pub(super) fn from_rpc_error(error: &RpcError) -> Self {
         match error {
             RpcError::Call(object) if object.code() == REFUSAL_CODE => object
                 .data()
                 .and_then(|data| serde_json::from_str(data.get()).ok())
-                .map_or(Self::NotUnderstood, Self::Refused),
+                .map_or(Self::Protocol, Self::Refused),
             RpcError::Transport(error) => error
                 .downcast_ref::<TransportError>()
-                .map_or(Self::NoAnswer, sort_transport),
+                .map_or(Self::NoAnswer, from_transport_error),
             RpcError::RequestTimeout => Self::NoAnswer,
-            _ => Self::NotUnderstood,
+            _ => Self::Protocol,
         }
     }
 }
 
-fn sort_transport(error: &TransportError) -> LinkFault {
+fn from_transport_error(error: &TransportError) -> LinkFault {
     match error {
         TransportError::Rejected {
             status_code: 401 | 413,
@@ -73,7 +75,7 @@
         }
         TransportError::Http(HttpError::Stream(cause)) => {
             if let Some(proof) = cause.downcast_ref::<ProofError>() {
-                return LinkFault::ReplyUnproven(*proof);
+                return LinkFault::ReplyProofInvalid(*proof);
             }
             let cause = cause.downcast_ref::<hyper_util::client::legacy::Error>();
             if cause.is_some_and(hyper_util::client::legacy::Error::is_connect) {
--- a/src/control/client/mod.rs
+++ b/src/control/client/mod.rs
@@ -1,17 +1,17 @@
-//! How other processes call the control group.
+//! The client of the control group, with failover between its replicas.
 
-mod call_plan;
 mod client_error;
 mod control_client;
+mod failover_plan;
 mod link_fault;
-mod replica_link;
+mod replica_client;
 
 pub use client_error::ControlClientError;
 pub use control_client::ControlClient;
 pub use link_fault::LinkFault;
 
-use call_plan::{CallPlan, PlanStep};
-use replica_link::ReplicaLink;
+use failover_plan::{FailoverPlan, FailoverStep};
+use replica_client::ReplicaClient;
 
 #[cfg(test)]
 mod tests;
--- a/src/control/client/replica_link.rs
+++ b/src/control/client/replica_client.rs
@@ -15,33 +15,32 @@
 use super::LinkFault;
 use crate::{
     clock::SpanMillis,
-    control::api::{CallName, MOST_REPLY_BYTES, MOST_REQUEST_BYTES},
+    control::api::{CallName, MAX_REPLY_BYTES, MAX_REQUEST_BYTES},
     proof::{SignLayer, SignService},
     secret::SecretStore,
 };
 
-/// The time within which a connection has to stand.
-const CONNECT_MILLIS: SpanMillis = SpanMillis::new(1_000);
+/// The timeout for establishing a connection.
+const CONNECT_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(1_000);
 
-/// The connections to one replica.
+/// An HTTP client with its connections to one replica.
 #[derive(Debug)]
-pub(super) struct ReplicaLink {
+pub(super) struct ReplicaClient {
     client: HttpClient<RpcService<SignService<HttpBackend>>>,
 }
 
-/// One argument of a call, encoded once for all attempts.
+/// A call with its parameters, encoded once for all attempts.
 #[derive(Debug, Clone)]
 pub(super) struct EncodedCall {
-    /// The method.
     pub(super) name: CallName,
     params: Box<RawValue>,
 }
 
 impl EncodedCall {
-    /// Encodes the argument of a call.
+    /// Encodes `request` as the only parameter of a call.
     pub(super) fn new<Q: Serialize>(name: CallName, request: &Q) -> Result<Self, LinkFault> {
         let params =
-            serde_json::value::to_raw_value(&[request]).map_err(|_| LinkFault::NotUnderstood)?;
+            serde_json::value::to_raw_value(&[request]).map_err(|_| LinkFault::Protocol)?;
         Ok(Self { name, params })
     }
 }
@@ -52,31 +51,31 @@
     }
 }
 
-impl ReplicaLink {
-    /// Prepares calls of the replica at `address`; nothing is sent yet.
+impl ReplicaClient {
+    /// Creates a client of the replica at `address` without connecting.
     pub(super) fn new(address: SocketAddrV4, secret: SecretStore) -> Result<Self, LinkFault> {
-        let layer = SignLayer::new(secret, MOST_REPLY_BYTES);
+        let layer = SignLayer::new(secret, MAX_REPLY_BYTES);
         let client = HttpClientBuilder::new()
-            .max_request_size(u32::try_from(MOST_REQUEST_BYTES).unwrap_or(u32::MAX))
-            .max_response_size(u32::try_from(MOST_REPLY_BYTES).unwrap_or(u32::MAX))
-            .connect_timeout(CONNECT_MILLIS.duration())
+            .max_request_size(u32::try_from(MAX_REQUEST_BYTES).unwrap_or(u32::MAX))
+            .max_response_size(u32::try_from(MAX_REPLY_BYTES).unwrap_or(u32::MAX))
+            .connect_timeout(CONNECT_TIMEOUT_MILLIS.duration())
             .set_http_middleware(tower::ServiceBuilder::new().layer(layer))
             .set_rpc_middleware(RpcServiceBuilder::new())
             .build(format!("http://{address}/"))
-            .map_err(|error: RpcError| LinkFault::sort(&error))?;
+            .map_err(|error: RpcError| LinkFault::from_rpc_error(&error))?;
         Ok(Self { client })
     }
 
-    /// Sends a call and returns the answer, all within `deadline`.
+    /// Sends a call and returns the reply; fails after `attempt_timeout`.
     pub(super) async fn call<R: DeserializeOwned>(
         &self,
         call: &EncodedCall,
-        deadline: SpanMillis,
+        attempt_timeout: SpanMillis,
     ) -> Result<R, LinkFault> {
-        let answer = self.client.request(call.name.method(), call.clone());
-        match timeout(deadline.duration(), answer).await {
+        let reply = self.client.request(call.name.method(), call.clone());
+        match timeout(attempt_timeout.duration(), reply).await {
             Ok(Ok(reply)) => Ok(reply),
-            Ok(Err(error)) => Err(LinkFault::sort(&error)),
+            Ok(Err(error)) => Err(LinkFault::from_rpc_error(&error)),
             Err(_) => Err(LinkFault::NoAnswer),
         }
     }
--- a/src/control/client/tests/mod.rs
+++ b/src/control/client/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the client.
+//! Tests of the control client.
 
-mod plan;
-mod silence;
+mod failover;
+mod unavailable;
--- a/src/control/client/tests/silence.rs
+++ b/src/control/client/tests/unavailable.rs
@@ -1,4 +1,4 @@
-//! Replicas that say nothing, refuse the proof or are not there.
+//! Replicas that do not answer, reject the proof or are down.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
@@ -10,14 +10,14 @@
     server::tests::fixture::{TestReplica, announcement, test_secret},
 };
 
-/// Listens and accepts connections, and never answers.
-async fn silent_replica() -> (TcpListener, SocketAddrV4) {
+/// Returns a listener that accepts connections but never answers.
+async fn unresponsive_replica() -> (TcpListener, SocketAddrV4) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
         .await
         .expect("a free port");
     match listener.local_addr().expect("a bound port") {
         SocketAddr::V4(address) => (listener, address),
-        SocketAddr::V6(_) => panic!("an IPv4 address was asked for"),
+        SocketAddr::V6(_) => panic!("expected an IPv4 address"),
     }
 }
 
@@ -30,10 +30,10 @@
 }
 
 #[tokio::test]
-async fn a_silent_replica_is_left_and_not_tried_first_again() {
+async fn a_call_fails_over_from_an_unresponsive_replica_and_later_calls_skip_it() {
     let replica = TestReplica::start();
-    let (_listener, silent) = silent_replica().await;
-    let addresses = vec![silent, replica.address];
+    let (_listener, unresponsive) = unresponsive_replica().await;
+    let addresses = vec![unresponsive, replica.address];
     let client = ControlClient::new(addresses, replica.secret.clone());
     let answer = client.heartbeat(&heartbeat()).await;
     assert_eq!(answer, Ok(HeartbeatReceipt::Unknown));
@@ -42,9 +42,9 @@
 }
 
 #[tokio::test]
-async fn silence_everywhere_leaves_the_outcome_unknown() {
-    let (_listener, silent) = silent_replica().await;
-    let client = ControlClient::new(vec![silent], test_secret(7));
+async fn no_answer_from_any_replica_leaves_the_outcome_unknown() {
+    let (_listener, unresponsive) = unresponsive_replica().await;
+    let client = ControlClient::new(vec![unresponsive], test_secret(7));
     let call = client.heartbeat(&heartbeat()).await;
     assert!(matches!(
         call,
@@ -53,8 +53,8 @@
 }
 
 #[tokio::test]
-async fn a_closed_port_means_that_nothing_was_sent() {
-    let (listener, closed) = silent_replica().await;
+async fn a_closed_port_is_reported_as_unreachable() {
+    let (listener, closed) = unresponsive_replica().await;
     drop(listener);
     let client = ControlClient::new(vec![closed], test_secret(7));
     let last = LinkFault::NoConnection;
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn another_secret_is_told_apart_from_an_unreachable_replica() {
+async fn a_wrong_secret_is_reported_as_a_rejected_proof() {
     let replica = TestReplica::start();
     let client = ControlClient::new(vec![replica.address], test_secret(8));
     let refused = client.status_at(replica.address).await;
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn the_argument_of_status_is_an_empty_object() {
+fn a_status_request_is_an_empty_object() {
     let text = serde_json::to_string(&StatusRequest {}).expect("plain JSON");
     assert_eq!(text, "{}");
 }
--- a/src/control/server/announce_check.rs
+++ b/src/control/server/announce_check.rs
@@ -3,15 +3,15 @@
     key::DomainName,
 };
 
-/// The longest name of a region or failure domain.
-const MOST_DOMAIN_BYTES: usize = 64;
+/// The maximum length of a region's or failure domain's name.
+const MAX_DOMAIN_BYTES: usize = 64;
 
-/// Verifies an announcement before it is proposed.
+/// Validates an announcement before it is proposed to the group.
 pub(super) fn check_announce(request: &AnnounceRequest) -> Result<(), CallRefusal> {
     let address = request.target.address();
     let fault = if request.weight == 0 {
         AnnounceFault::ZeroWeight
-    } else if !is_bounded(&request.domain) {
+    } else if !has_valid_length(&request.domain) {
         AnnounceFault::DomainLength
     } else if address.port() == 0 || address.ip().is_unspecified() {
         AnnounceFault::Address
@@ -21,9 +21,9 @@
     Err(CallRefusal::InvalidAnnouncement { fault })
 }
 
-fn is_bounded(domain: &DomainName) -> bool {
+fn has_valid_length(domain: &DomainName) -> bool {
     let names = [&domain.region, &domain.failure_domain];
     names
         .iter()
-        .all(|name| (1..=MOST_DOMAIN_BYTES).contains(&name.len()))
+        .all(|name| (1..=MAX_DOMAIN_BYTES).contains(&name.len()))
 }
--- a/src/control/server/call_methods.rs
+++ b/src/control/server/call_methods.rs
@@ -12,7 +12,7 @@
 use super::{ControlService, watch_call::WatchReply};
 use crate::control::api::{CallName, CallRefusal, REFUSAL_CODE, StatusRequest, WatchRequest};
 
-/// Registers every call of a control replica.
+/// Registers the JSON-RPC methods of a control replica.
 pub(super) fn register_methods(
     service: Arc<ControlService>,
 ) -> Result<RpcModule<Arc<ControlService>>, RegisterMethodError> {
@@ -61,7 +61,7 @@
 fn register<Q, R, F>(
     module: &mut RpcModule<Arc<ControlService>>,
     name: CallName,
-    answer: fn(Arc<ControlService>, Q) -> F,
+    handler: fn(Arc<ControlService>, Q) -> F,
 ) -> Result<(), RegisterMethodError>
 where
     Q: DeserializeOwned + Send + 'static,
@@ -72,22 +72,22 @@
         let request = decode(&params)?;
         let reply = match admit(&service, name) {
             Ok(permit) => {
-                let reply = answer(Arc::clone(&service), request).await;
+                let reply = handler(Arc::clone(&service), request).await;
                 drop(permit);
                 reply
             }
             Err(refusal) => Err(refusal),
         };
-        count(name, reply.as_ref().err());
-        reply.map_err(|refusal| refusal_object(&refusal))
+        count_call(name, reply.as_ref().err());
+        reply.map_err(|refusal| refusal_error(&refusal))
     })?;
     Ok(())
 }
 
 fn admit(service: &ControlService, name: CallName) -> Result<OwnedSemaphorePermit, CallRefusal> {
     match name {
-        CallName::Watch => service.gate.admit_watcher(),
-        _ => service.gate.admit_call(),
+        CallName::Watch => service.limiter.admit_watcher(),
+        _ => service.limiter.admit_call(),
     }
 }
 
@@ -95,12 +95,12 @@
     params.one()
 }
 
-fn count(name: CallName, refusal: Option<&CallRefusal>) {
+fn count_call(name: CallName, refusal: Option<&CallRefusal>) {
     let outcome = refusal.map_or("answered", CallRefusal::label);
     counter!("cyclamen_control_calls_total", "call" => name.method(), "outcome" => outcome)
         .increment(1);
 }
 
-fn refusal_object(refusal: &CallRefusal) -> ErrorObjectOwned {
+fn refusal_error(refusal: &CallRefusal) -> ErrorObjectOwned {
     ErrorObjectOwned::owned(REFUSAL_CODE, refusal.to_string(), Some(refusal))
 }
--- a/src/control/server/control_service.rs
+++ b/src/control/server/control_service.rs
@@ -5,7 +5,7 @@
 
 use kameo::actor::ActorRef;
 
-use super::{CallGate, check_announce};
+use super::{CallLimiter, check_announce};
 use crate::{
     clock::ProcessClock,
     control::{
@@ -22,12 +22,12 @@
     manifest::check_manifest,
 };
 
-/// The watchers that a status lists.
-const MOST_WATCHERS_SHOWN: usize = 1_000;
-/// The services and the targets that a dump lists.
-const MOST_DUMPED: usize = 1_000;
+/// The maximum number of watchers in a status.
+const MAX_STATUS_WATCHERS: usize = 1_000;
+/// The maximum number of services, and of targets, in a dump.
+const MAX_DUMP_ENTRIES: usize = 1_000;
 
-/// Answers the calls of one replica.
+/// Implements the calls of one replica.
 pub(crate) struct ControlService {
     pub(super) name: String,
     pub(super) address: SocketAddrV4,
@@ -35,13 +35,13 @@
     pub(super) store: ControlStore,
     pub(super) confirmer: ReadConfirmer,
     pub(super) leases: ActorRef<LeaseKeeper>,
-    pub(super) gate: CallGate,
+    pub(super) limiter: CallLimiter,
     pub(super) clock: ProcessClock,
     watchers: Mutex<WatcherTable>,
 }
 
 impl ControlService {
-    /// Creates the service of the replica `name`; it must be called within the runtime.
+    /// Creates the service of the replica `name`; requires a Tokio runtime.
     pub(crate) fn new(
         name: String,
         address: SocketAddrV4,
@@ -57,16 +57,16 @@
             leases: kameo::Actor::spawn(keeper),
             state,
             store,
-            gate: CallGate::new(),
+            limiter: CallLimiter::new(),
             clock,
             watchers: Mutex::new(WatcherTable::new()),
         }
     }
 
-    /// Replaces the bounds on concurrent calls.
+    /// Replaces the limits on concurrent calls.
     #[cfg(test)]
-    pub(crate) fn with_gate(mut self, gate: CallGate) -> Self {
-        self.gate = gate;
+    pub(crate) fn with_limiter(mut self, limiter: CallLimiter) -> Self {
+        self.limiter = limiter;
         self
     }
 
@@ -82,22 +82,22 @@
                 lease: LEASE_MILLIS,
                 revision,
             }),
-            outcome => Err(refusal_of(outcome)),
+            outcome => Err(refusal_from(outcome)),
         }
     }
 
-    /// Takes a target out; returns the revision from which it is gone.
+    /// Deregisters a target; returns the first revision without it.
     pub(crate) async fn withdraw(
         &self,
         request: WithdrawRequest,
     ) -> Result<FeedRevision, CallRefusal> {
         match self.propose(ControlCommand::Withdraw(request)).await? {
             ControlOutcome::Withdrawn { revision } => Ok(revision),
-            outcome => Err(refusal_of(outcome)),
+            outcome => Err(refusal_from(outcome)),
         }
     }
 
-    /// Renews a lease; only the leader keeps them.
+    /// Renews a lease; only the leader tracks leases.
     pub(crate) async fn heartbeat(
         &self,
         request: HeartbeatRequest,
@@ -127,17 +127,17 @@
             .await?
         {
             ControlOutcome::Applied(receipt) => Ok(receipt),
-            outcome => Err(refusal_of(outcome)),
+            outcome => Err(refusal_from(outcome)),
         }
     }
 
-    /// Returns how the group does, from a confirmed state.
+    /// Returns the group's status after confirming that the state is current.
     pub(crate) async fn status(&self) -> Result<ControlStatus, CallRefusal> {
         self.confirmer.confirm().await?;
         Ok(self.local_status())
     }
 
-    /// Returns the state of this replica, confirmed or not.
+    /// Returns the state of this replica, which may be out of date.
     pub(crate) async fn dump(&self) -> ControlDump {
         let status = self.local_status();
         let count = self.leases.ask(CountLeases).await.unwrap_or_default();
@@ -153,13 +153,13 @@
                 .state()
                 .registrations()
                 .targets()
-                .take(MOST_DUMPED)
+                .take(MAX_DUMP_ENTRIES)
                 .cloned()
                 .collect(),
         })
     }
 
-    /// Returns the table of watchers for a short use.
+    /// Locks the table of watchers; the guard must be held only briefly.
     pub(super) fn watchers(&self) -> MutexGuard<'_, WatcherTable> {
         self.watchers.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -175,7 +175,7 @@
         let now = self.clock.now();
         let (watcher_count, watchers) = {
             let table = self.watchers();
-            (table.len(), table.laggards(MOST_WATCHERS_SHOWN, now))
+            (table.len(), table.laggards(MAX_STATUS_WATCHERS, now))
         };
         let replicas = self.store.replicas(self.address);
         self.state.read(|replica| {
@@ -185,7 +185,8 @@
                 revision: state.revision(),
                 manifest_version: state.manifest().version(),
                 manifest_digest: in_force.map(|accepted| accepted.digest),
-                manifest_revision: in_force.map_or(FeedRevision::EMPTY, |found| found.revision),
+                manifest_revision: in_force
+                    .map_or(FeedRevision::EMPTY, |accepted| accepted.revision),
                 services: state.manifest().service_count(),
                 targets: state.registrations().targets().len(),
                 replicas,
@@ -197,18 +198,18 @@
 }
 
 fn dump_services(state: &ControlState) -> Vec<DumpedService> {
-    let routes = state.manifest().services().take(MOST_DUMPED);
-    routes
-        .map(|route| DumpedService {
-            number: route.number,
-            targets: state.registrations().members(route.number).count(),
-            spec: route.spec,
+    let services = state.manifest().services().take(MAX_DUMP_ENTRIES);
+    services
+        .map(|service| DumpedService {
+            number: service.number,
+            targets: state.registrations().members(service.number).count(),
+            spec: service.spec,
         })
         .collect()
 }
 
-/// Returns the refusal of an outcome that is no receipt.
-fn refusal_of(outcome: ControlOutcome) -> CallRefusal {
+/// Returns the refusal for an outcome other than the expected one.
+fn refusal_from(outcome: ControlOutcome) -> CallRefusal {
     match outcome {
         ControlOutcome::Refused(refusal) => refusal,
         ControlOutcome::Applied(_)
--- a/src/control/server/lease_driver.rs
+++ b/src/control/server/lease_driver.rs
@@ -16,46 +16,46 @@
     key::{IncarnationId, TargetKey},
 };
 
-/// The time between two decisions about leases.
+/// The interval between two checks for expired leases.
 const TICK_MILLIS: SpanMillis = SpanMillis::new(250);
-/// The targets that one command expires at most.
-const MOST_EXPIRED: usize = 1_024;
+/// The maximum number of targets that one command expires.
+const MAX_EXPIRED_TARGETS: usize = 1_024;
 
-/// Follows the leadership of this replica and expires leases while it leads.
-pub(super) async fn drive_leases(service: Arc<ControlService>) {
+/// Tracks whether this replica leads, and expires leases while it does.
+pub(super) async fn run_lease_driver(service: Arc<ControlService>) {
     let mut tick = interval(TICK_MILLIS.duration());
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut leading = None;
+    let mut leading_term = None;
     loop {
         tick.tick().await;
-        match (service.store.lead(), leading) {
-            (LeadView::Leading { term }, Some(known)) if term == known => {
-                decide_leases(&service).await;
+        match (service.store.lead(), leading_term) {
+            (LeadView::Leading { term }, Some(current)) if term == current => {
+                expire_leases(&service).await;
             }
             (LeadView::Leading { term }, _) => {
-                // A keeper that is gone ends with the replica.
+                // The keeper stops only together with the replica, so an error is ignored.
                 let _ = service.leases.ask(TakeLeases).await;
                 log_event!(info, ControlEvent::LeasesTaken, term);
-                leading = Some(term);
+                leading_term = Some(term);
             }
             (LeadView::Following { .. }, Some(_)) => {
                 let _ = service.leases.ask(ResignLeases).await;
                 log_event!(info, ControlEvent::LeasesResigned);
-                leading = None;
+                leading_term = None;
             }
             (LeadView::Following { .. }, None) => {}
         }
     }
 }
 
-async fn decide_leases(service: &ControlService) {
+async fn expire_leases(service: &ControlService) {
     let Ok(verdict) = service.leases.ask(DecideLeases).await else {
         return;
     };
     for report in &verdict.held {
         report_hold(report);
     }
-    for expired in verdict.expired.chunks(MOST_EXPIRED) {
+    for expired in verdict.expired.chunks(MAX_EXPIRED_TARGETS) {
         expire_targets(service, expired).await;
     }
 }
@@ -79,7 +79,7 @@
             counter!("cyclamen_control_leases_expired_total").increment(expired.len() as u64);
             log_event!(info, ControlEvent::LeasesExpired, targets = expired.len());
         }
-        // The table asks again for what was not committed.
+        // The lease table returns uncommitted expiries again at a later check.
         Err(refusal) => log_event!(warn, ControlEvent::ExpiryRefused, %refusal),
     }
 }
--- a/src/control/server/listening_file.rs
+++ b/src/control/server/listening_file.rs
@@ -2,16 +2,16 @@
 
 use serde::Serialize;
 
-/// The file within the data folder that tells where this replica listens.
+/// The file within the data folder that holds this replica's listen address.
 const FILE_NAME: &str = "listening.json";
 
-/// What the file holds.
+/// The content of the file.
 #[derive(Debug, Serialize)]
 struct ListeningRecord {
     listen: SocketAddrV4,
 }
 
-/// Tells other programs of this machine where the replica listens.
+/// Writes the replica's listen address to a file for other programs on this host.
 pub(crate) fn write_listening(folder: &Path, listen: SocketAddrV4) -> io::Result<()> {
     fs::create_dir_all(folder)?;
     let text = serde_json::to_string(&ListeningRecord { listen })?;
--- a/src/control/server/mod.rs
+++ b/src/control/server/mod.rs
@@ -1,22 +1,22 @@
 //! The JSON-RPC server of a control replica.
 
 mod announce_check;
-mod call_gate;
+mod call_limiter;
 mod call_methods;
+mod control_server;
 mod control_service;
 mod lease_driver;
 mod listening_file;
-mod server_handle;
 mod watch_call;
 
-pub(crate) use call_gate::CallGate;
+pub(crate) use call_limiter::CallLimiter;
+pub(crate) use control_server::{ControlServer, ServerError};
 pub(crate) use control_service::ControlService;
 pub(crate) use listening_file::write_listening;
-pub(crate) use server_handle::{ControlServer, ServerError};
 
 use announce_check::check_announce;
 use call_methods::register_methods;
-use lease_driver::drive_leases;
+use lease_driver::run_lease_driver;
 
 #[cfg(test)]
 pub(crate) mod tests;
--- a/src/control/server/tests/calls.rs
+++ b/src/control/server/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls over loopback, from the client's method to the state and back.
+//! Calls over loopback, from the client through the server to the state.
 
 use super::fixture::{TestReplica, announcement, manifest};
 use crate::control::{
@@ -7,7 +7,7 @@
 };
 
 #[tokio::test]
-async fn a_target_is_registered_renewed_and_withdrawn() {
+async fn a_target_registers_renews_its_lease_and_is_withdrawn() {
     let replica = TestReplica::start();
     let client = replica.client();
     let first = client.apply(&manifest(1, 0, &["barge"])).await;
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test]
-async fn a_conflict_names_the_version_in_force() {
+async fn a_version_conflict_reports_the_version_in_force() {
     let replica = TestReplica::start();
     let client = replica.client();
     let winner = client
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test]
-async fn a_dump_shows_services_and_targets() {
+async fn a_dump_lists_services_and_targets() {
     let replica = TestReplica::start();
     let client = replica.client();
     client
--- a/src/control/server/tests/fixture.rs
+++ b/src/control/server/tests/fixture.rs
@@ -1,4 +1,4 @@
-//! A replica in memory that answers on a port of the system's choice.
+//! An in-memory replica that serves calls on a free loopback port.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -8,7 +8,7 @@
         api::{AnnounceRequest, ApplyRequest, WatchRequest, WatchScope, WatcherName},
         client::ControlClient,
         feed::ReplicaState,
-        server::{CallGate, ControlServer, ControlService},
+        server::{CallLimiter, ControlServer, ControlService},
         store::{ControlStore, MemoryStore, StateHandle},
     },
     key::{DomainName, FeedRevision, IncarnationId, TargetKey},
@@ -17,7 +17,7 @@
     secret::{DeploymentSecret, SecretStore},
 };
 
-/// A running replica.
+/// A running replica with an in-memory store.
 pub(crate) struct TestReplica {
     pub(crate) server: ControlServer,
     pub(crate) address: SocketAddrV4,
@@ -26,17 +26,17 @@
 
 impl TestReplica {
     pub(crate) fn start() -> Self {
-        Self::with_gate(CallGate::new())
+        Self::with_limiter(CallLimiter::new())
     }
 
-    pub(crate) fn with_gate(gate: CallGate) -> Self {
+    pub(crate) fn with_limiter(limiter: CallLimiter) -> Self {
         let secret = test_secret(7);
         let state = StateHandle::new(ReplicaState::new());
         let store = ControlStore::Memory(MemoryStore::new(state.clone()));
         let (listener, address) =
             ControlServer::bind(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)).expect("a free port");
         let name = "control-test".to_owned();
-        let service = ControlService::new(name, address, state, store).with_gate(gate);
+        let service = ControlService::new(name, address, state, store).with_limiter(limiter);
         let server = ControlServer::start(listener, service, secret.clone()).expect("a server");
         Self {
             server,
--- a/src/control/server/tests/mod.rs
+++ b/src/control/server/tests/mod.rs
@@ -1,7 +1,7 @@
-//! Tests of the server of a control replica.
+//! Tests of a control replica's server.
 
 pub(crate) mod fixture;
 
 mod calls;
 mod overload;
-mod watching;
+mod watch;
--- a/src/control/server/tests/overload.rs
+++ b/src/control/server/tests/overload.rs
@@ -1,15 +1,15 @@
-//! What is beyond the bounds is refused at once.
+//! Calls above the concurrency limits are refused immediately.
 
 use super::fixture::{TestReplica, manifest, watch_after};
 use crate::control::{
     api::{CallRefusal, WatchScope},
     client::LinkFault,
-    server::CallGate,
+    server::CallLimiter,
 };
 
 #[tokio::test]
-async fn a_call_beyond_the_bound_is_refused_at_once() {
-    let replica = TestReplica::with_gate(CallGate::with_limits(0, 8));
+async fn a_call_above_the_limit_is_refused_immediately() {
+    let replica = TestReplica::with_limiter(CallLimiter::with_limits(0, 8));
     let refused = replica.client().status_at(replica.address).await;
     let Err(LinkFault::Refused(CallRefusal::Overloaded { retry_after_millis })) = refused else {
         panic!("expected an overload, got {refused:?}");
@@ -18,8 +18,8 @@
 }
 
 #[tokio::test]
-async fn watchers_that_wait_take_no_room_from_calls() {
-    let replica = TestReplica::with_gate(CallGate::with_limits(1, 1));
+async fn waiting_watchers_do_not_count_towards_the_call_limit() {
+    let replica = TestReplica::with_limiter(CallLimiter::with_limits(1, 1));
     let client = replica.client();
     let waiting = {
         let client = client.clone();
--- a/src/control/server/tests/watching.rs
+++ b/src/control/server/tests/watch.rs
@@ -1,4 +1,4 @@
-//! Long polls over loopback.
+//! Long polling over loopback.
 
 use std::{
     net::{Ipv4Addr, SocketAddrV4},
@@ -20,7 +20,7 @@
 };
 
 #[tokio::test]
-async fn a_waiting_watcher_is_told_of_a_change() {
+async fn a_waiting_watcher_receives_a_change() {
     let replica = TestReplica::start();
     let client = replica.client();
     client
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test]
-async fn a_scoped_watcher_moves_on_without_foreign_changes() {
+async fn a_scoped_watcher_advances_past_changes_of_other_services() {
     let replica = TestReplica::start();
     let client = replica.client();
     client
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn a_fresh_watcher_gets_a_snapshot_of_its_scope() {
+async fn a_new_watcher_gets_a_snapshot_of_its_scope() {
     let replica = TestReplica::start();
     let client = replica.client();
     client
@@ -93,7 +93,7 @@
 }
 
 #[tokio::test]
-async fn a_replica_that_is_cut_off_refuses_waiting_watchers_and_new_ones() {
+async fn an_isolated_replica_refuses_waiting_and_new_watchers() {
     let state = StateHandle::new(ReplicaState::new());
     let store = MemoryStore::new(state.clone());
     let service = Arc::new(ControlService::new(
@@ -109,7 +109,7 @@
         let request = watch_after(1, WatchScope::All, 25_000);
         tokio::spawn(async move { service.watch(request).await.err() })
     };
-    // It waits by now; if not, it is refused all the same.
+    // The watcher should be waiting by now; otherwise it is refused as well.
     tokio::time::sleep(Duration::from_millis(200)).await;
     store.cut_off();
     let fresh = service.watch(watch_after(0, WatchScope::All, 0)).await;
@@ -117,8 +117,8 @@
     assert_eq!(service.status().await, Err(CallRefusal::NoQuorum));
     let offered = service.apply(manifest(2, 1, &["logbook"])).await;
     assert_eq!(offered, Err(CallRefusal::NoQuorum));
-    // Its wait has 25 s to go.
-    let told = tokio::time::timeout(Duration::from_secs(20), waiting).await;
-    let told = told.expect("told before its wait is over");
-    assert_eq!(told.expect("no panic"), Some(CallRefusal::NoQuorum));
+    // Its own wait of 25 s ends only after the 20 s allowed here.
+    let refusal = tokio::time::timeout(Duration::from_secs(20), waiting).await;
+    let refusal = refusal.expect("refused before its wait is over");
+    assert_eq!(refusal.expect("no panic"), Some(CallRefusal::NoQuorum));
 }
--- a/src/control/server/watch_call.rs
+++ b/src/control/server/watch_call.rs
@@ -16,69 +16,69 @@
     },
 };
 
-/// The longest time that an answer waits for news.
-const MOST_WAIT_MILLIS: SpanMillis = SpanMillis::new(30_000);
+/// The longest time to hold back a reply while there are no changes.
+const MAX_WAIT_MILLIS: SpanMillis = SpanMillis::new(30_000);
 
-/// The answer to a watcher; news are encoded once for all who get the same.
+/// The reply to a watcher; changes are encoded once for all watchers with the same reply.
 #[derive(Debug, Clone, Serialize)]
 #[serde(untagged)]
 pub(crate) enum WatchReply {
-    /// Nothing came after the watcher's revision.
-    Idle(FeedReply),
-    /// A delta or a snapshot, encoded before.
-    News(#[serde(serialize_with = "serialize_shared")] Arc<RawValue>),
+    /// No changes after the watcher's revision.
+    Unchanged(FeedReply),
+    /// A delta or a snapshot, already encoded.
+    Encoded(#[serde(serialize_with = "serialize_raw")] Arc<RawValue>),
 }
 
-fn serialize_shared<S: Serializer>(text: &Arc<RawValue>, serializer: S) -> Result<S::Ok, S::Error> {
+fn serialize_raw<S: Serializer>(text: &Arc<RawValue>, serializer: S) -> Result<S::Ok, S::Error> {
     text.as_ref().serialize(serializer)
 }
 
 impl ControlService {
-    /// Returns what came after the watcher's revision, waiting for it.
+    /// Returns the changes after the watcher's revision, waiting for them.
     ///
     /// # Errors
     ///
-    /// Refuses when this replica can't confirm that it is current, and when
+    /// Fails when this replica can't confirm that its state is current, or when
     /// it is behind the watcher.
     pub(crate) async fn watch(&self, request: WatchRequest) -> Result<WatchReply, CallRefusal> {
         let now = self.clock.now();
         let (watcher, in_force) = (&request.watcher, request.in_force);
         self.watchers()
             .hear(watcher, &request.domain, in_force, now)?;
-        let wait = request.wait.min(MOST_WAIT_MILLIS).duration();
+        let wait = request.wait.min(MAX_WAIT_MILLIS).duration();
         let deadline = Instant::now() + wait;
         let mut current = self.confirmer.current();
         self.confirmer.confirm().await?;
         let scope = self.state.scope(&request.scope)?;
-        let mut signal = self.state.subscribe(scope);
+        let mut revisions = self.state.subscribe(scope);
         loop {
-            signal.borrow_and_update();
+            revisions.borrow_and_update();
             let answer = self.state.answer(scope, in_force);
-            let over = Instant::now() >= deadline;
+            let timed_out = Instant::now() >= deadline;
             match answer {
                 FeedAnswer::News(reply) => {
-                    if self.pause(&request).await {
-                        // More may have come meanwhile; it goes along.
+                    if self.wait_for_budget(&request).await {
+                        // Picks up changes that arrived during the pause.
                         continue;
                     }
-                    return Ok(self.deliver(&request, reply));
+                    return Ok(self.encoded_reply(&request, reply));
                 }
-                FeedAnswer::Unchanged(_) if over => {
-                    return self.confirm_idle(&request, scope).await;
+                FeedAnswer::Unchanged(_) if timed_out => {
+                    return self.confirm_unchanged(&request, scope).await;
                 }
-                FeedAnswer::Behind if over => return Err(CallRefusal::NoQuorum),
+                FeedAnswer::Behind if timed_out => return Err(CallRefusal::NoQuorum),
                 FeedAnswer::Unchanged(_) | FeedAnswer::Behind => {}
             }
             tokio::select! {
-                _ = signal.changed() => {}
+                _ = revisions.changed() => {}
                 () = sleep_until(deadline) => {}
-                () = cut_off(&mut current) => return Err(CallRefusal::NoQuorum),
+                () = until_unconfirmed(&mut current) => return Err(CallRefusal::NoQuorum),
             }
         }
     }
 
-    /// Waits until the watcher's byte budget allows a reply; tells if it had to.
-    async fn pause(&self, request: &WatchRequest) -> bool {
+    /// Waits until the watcher's byte budget allows a reply; returns whether it waited.
+    async fn wait_for_budget(&self, request: &WatchRequest) -> bool {
         let pause = self.watchers().pause(&request.watcher, self.clock.now());
         if pause == SpanMillis::ZERO {
             return false;
@@ -87,14 +87,14 @@
         true
     }
 
-    fn deliver(&self, request: &WatchRequest, reply: EncodedReply) -> WatchReply {
+    fn encoded_reply(&self, request: &WatchRequest, reply: EncodedReply) -> WatchReply {
         let now = self.clock.now();
         self.watchers().charge(&request.watcher, reply.bytes(), now);
-        WatchReply::News(reply.text)
+        WatchReply::Encoded(reply.text)
     }
 
-    /// Tells a watcher that nothing came, as of a confirmed read.
-    async fn confirm_idle(
+    /// Replies after a confirmed read, usually that nothing has changed.
+    async fn confirm_unchanged(
         &self,
         request: &WatchRequest,
         scope: FeedScope,
@@ -104,16 +104,16 @@
             FeedAnswer::Unchanged(revision) => {
                 let now = self.clock.now();
                 self.watchers().charge(&request.watcher, 0, now);
-                Ok(WatchReply::Idle(FeedReply::Unchanged { revision }))
+                Ok(WatchReply::Unchanged(FeedReply::Unchanged { revision }))
             }
-            FeedAnswer::News(reply) => Ok(self.deliver(request, reply)),
+            FeedAnswer::News(reply) => Ok(self.encoded_reply(request, reply)),
             FeedAnswer::Behind => Err(CallRefusal::NoQuorum),
         }
     }
 }
 
-/// Returns when this replica is no longer known to be current.
-async fn cut_off(current: &mut watch::Receiver<bool>) {
-    // A confirmer that is gone can't confirm either.
+/// Completes when this replica can no longer confirm that its state is current.
+async fn until_unconfirmed(current: &mut watch::Receiver<bool>) {
+    // An error means that the confirmer has stopped, so nothing can be confirmed either.
     let _ = current.wait_for(|current| !*current).await;
 }
