--- a/src/clock/clock_millis.rs
+++ b/src/clock/clock_millis.rs
@@ -4,9 +4,9 @@
 
 use super::SpanMillis;
 
-/// An instant in milliseconds since an origin that the process chose.
+/// An instant in milliseconds since the origin of a process's clock.
 ///
-/// Instants of different processes are never compared with each other.
+/// Instants of different processes must not be compared.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -29,19 +29,19 @@
         self.0
     }
 
-    /// Returns the instant `span` later, at most the largest one.
+    /// Returns the instant `span` later, saturating at the maximum.
     #[must_use]
     pub const fn after(self, span: SpanMillis) -> Self {
         Self(self.0.saturating_add(span.millis()))
     }
 
-    /// Returns the instant `span` earlier, at least the origin.
+    /// Returns the instant `span` earlier, saturating at the origin.
     #[must_use]
     pub const fn before(self, span: SpanMillis) -> Self {
         Self(self.0.saturating_sub(span.millis()))
     }
 
-    /// Returns the time since `earlier`, zero if that lies ahead.
+    /// Returns the time since `earlier`, or zero if that is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> SpanMillis {
         SpanMillis::new(self.0.saturating_sub(earlier.0))
--- a/src/clock/mod.rs
+++ b/src/clock/mod.rs
@@ -1,4 +1,4 @@
-//! Time in milliseconds: the one clock type that every decision uses.
+//! Instants and spans in milliseconds, and the process clock.
 
 mod clock_millis;
 mod process_clock;
--- a/src/clock/process_clock.rs
+++ b/src/clock/process_clock.rs
@@ -2,7 +2,7 @@
 
 use super::ClockMillis;
 
-/// The monotonic clock of this process; only the shells read it.
+/// A monotonic clock; state machines never read it but get the time as an argument.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessClock {
     origin: Instant,
--- a/src/clock/span_millis.rs
+++ b/src/clock/span_millis.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A length of time in milliseconds.
+/// A duration in milliseconds.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -10,7 +10,7 @@
 pub struct SpanMillis(u64);
 
 impl SpanMillis {
-    /// No time at all.
+    /// A span of 0 ms.
     pub const ZERO: Self = Self(0);
 
     /// Creates a span of `millis`.
@@ -32,25 +32,25 @@
         self.0 as f64
     }
 
-    /// Returns the span as the standard library's type, for timers.
+    /// Converts the span to a `Duration`.
     #[must_use]
     pub const fn duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
 
-    /// Returns the span times `factor`, at most the largest one.
+    /// Multiplies the span by `factor`, saturating at the maximum.
     #[must_use]
     pub const fn times(self, factor: u64) -> Self {
         Self(self.0.saturating_mul(factor))
     }
 
-    /// Returns the sum of both spans, at most the largest one.
+    /// Adds both spans, saturating at the maximum.
     #[must_use]
     pub const fn plus(self, other: Self) -> Self {
         Self(self.0.saturating_add(other.0))
     }
 
-    /// Returns the span less `other`, at least zero.
+    /// Subtracts `other`, saturating at zero.
     #[must_use]
     pub const fn less(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
--- a/src/key/domain_name.rs
+++ b/src/key/domain_name.rs
@@ -2,18 +2,18 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Where a process runs: its region and its failure domain within it.
+/// The region and failure domain that a process runs in.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DomainName {
     /// The region, such as `vestland`.
     pub region: String,
-    /// The failure domain, such as `fjord-a`.
+    /// The failure domain within the region, such as `fjord-a`.
     pub failure_domain: String,
 }
 
 impl DomainName {
-    /// Names a failure domain of a region.
+    /// Creates the name of a failure domain in a region.
     #[must_use]
     pub fn new(region: &str, failure_domain: &str) -> Self {
         Self {
--- a/src/key/feed_revision.rs
+++ b/src/key/feed_revision.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Counts the committed changes of the control state; it never goes back.
+/// A revision of the control state: the number of committed changes, which never decreases.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -10,16 +10,16 @@
 pub struct FeedRevision(u64);
 
 impl FeedRevision {
-    /// The state before the first change.
+    /// The revision before the first change.
     pub const EMPTY: Self = Self(0);
 
-    /// Wraps a count that control handed out.
+    /// Wraps a count of changes.
     #[must_use]
     pub const fn new(count: u64) -> Self {
         Self(count)
     }
 
-    /// Returns the plain count.
+    /// Returns the count of changes.
     #[must_use]
     pub const fn count(self) -> u64 {
         self.0
--- a/src/key/incarnation_id.rs
+++ b/src/key/incarnation_id.rs
@@ -3,32 +3,32 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{DisplayFromStr, serde_as};
 
-/// A random number that names one run of an agent; never used twice.
+/// A random number that identifies one run of an agent and is never reused.
 ///
-/// It is written as sixteen hexadecimal digits, and as a number in binary codecs.
+/// Text formats hold it as sixteen hexadecimal digits, binary formats as a number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IncarnationId(u64);
 
 impl IncarnationId {
-    /// Wraps a number drawn elsewhere.
+    /// Wraps an existing number.
     #[must_use]
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// Draws a fresh incarnation from the system's random source.
+    /// Generates a random incarnation.
     #[must_use]
     pub fn random() -> Self {
         Self(rand::random())
     }
 
-    /// Returns the whole number.
+    /// Returns all 64 bits.
     #[must_use]
     pub const fn number(self) -> u64 {
         self.0
     }
 
-    /// Returns the low sixteen bits, which connection IDs carry.
+    /// Returns the low 16 bits, which connection IDs carry.
     #[must_use]
     pub const fn tag(self) -> u16 {
         let bytes = self.0.to_le_bytes();
@@ -50,7 +50,7 @@
     }
 }
 
-/// Serialises an incarnation as text, since JSON numbers lose bits over 2^53.
+/// Serialises an incarnation as text, since JSON numbers lose precision above 2^53.
 #[serde_as]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
--- a/src/key/mod.rs
+++ b/src/key/mod.rs
@@ -1,4 +1,4 @@
-//! Small keys that name services, targets, revisions and places.
+//! Identifiers of services, targets, agent runs, feed revisions and failure domains.
 
 mod domain_name;
 mod feed_revision;
--- a/src/key/service_number.rs
+++ b/src/key/service_number.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The number that control gave a service when it was first accepted.
+/// The number that control assigned to a service when it was first accepted.
 ///
 /// Connection IDs and tunnel headers carry it in place of the name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -10,13 +10,13 @@
 pub struct ServiceNumber(u16);
 
 impl ServiceNumber {
-    /// Wraps a number that control assigned.
+    /// Wraps an assigned number.
     #[must_use]
     pub const fn new(number: u16) -> Self {
         Self(number)
     }
 
-    /// Returns the plain number.
+    /// Returns the number as an integer.
     #[must_use]
     pub const fn number(self) -> u16 {
         self.0
--- a/src/key/target_key.rs
+++ b/src/key/target_key.rs
@@ -2,19 +2,19 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The tunnel address of the agent beside a target; it names the target.
+/// Identifies a target by the tunnel address of its agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TargetKey(SocketAddrV4);
 
 impl TargetKey {
-    /// Wraps the address that an agent announced.
+    /// Wraps the tunnel address of an agent.
     #[must_use]
     pub const fn new(address: SocketAddrV4) -> Self {
         Self(address)
     }
 
-    /// Returns the address that tunnel frames for this target go to.
+    /// Returns the destination address of tunnel frames for this target.
     #[must_use]
     pub const fn address(self) -> SocketAddrV4 {
         self.0
--- a/src/manifest/fault_cause.rs
+++ b/src/manifest/fault_cause.rs
@@ -3,87 +3,87 @@
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// The rule that a value of a manifest breaks, with what is allowed.
+/// Why a value in a manifest is invalid, and what is allowed.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 pub enum FaultCause {
-    /// The version does not follow the one that it replaces.
+    /// The version is not above the one that it replaces.
     #[error("version {version} replaces {replaces}; allowed: a version above the replaced one")]
     VersionOrder {
-        /// The version of this content.
+        /// The manifest's version.
         version: u64,
         /// The version that it replaces.
         replaces: u64,
     },
-    /// A list holds too many entries.
-    #[error("{count} entries; allowed: at most {most}")]
+    /// A list has too many entries.
+    #[error("{count} entries; allowed: at most {max}")]
     TooMany {
-        /// The entries found.
+        /// The number of entries.
         count: usize,
-        /// The most that are allowed.
-        most: usize,
+        /// The maximum number of entries.
+        max: usize,
     },
-    /// A name is empty, too long, or holds a character that is not allowed.
-    #[error("name {name:?}; allowed: 1 to {most} characters of a-z, A-Z, 0-9, `-`, `_` and `.`")]
-    BadName {
-        /// The name found, cut to the allowed length.
+    /// A name is empty, too long, `.` or `..`, or has a character that is not allowed.
+    #[error("name {name:?}; allowed: 1 to {max} characters of a-z, A-Z, 0-9, `-`, `_` and `.`")]
+    InvalidName {
+        /// The name, truncated to the maximum length.
         name: String,
-        /// The most characters that are allowed.
-        most: usize,
+        /// The maximum length in characters.
+        max: usize,
     },
-    /// Two entries of one list share a name.
+    /// Two entries of a list have the same name.
     #[error("name {name:?} stands at `{first}` already; allowed: each name once")]
     DuplicateName {
-        /// The shared name.
+        /// The name.
         name: String,
-        /// Where the name stands first.
+        /// The place of the first entry with that name.
         first: String,
     },
-    /// Two services share an address and port.
+    /// Two services have the same address and port.
     #[error("address {address} stands at `{first}` already; allowed: each address and port once")]
-    ClashingAddress {
-        /// The shared address.
+    DuplicateAddress {
+        /// The address and port.
         address: SocketAddrV4,
-        /// Where the address stands first.
+        /// The place of the first service with that address.
         first: String,
     },
-    /// Callers can't send to the address.
+    /// The address is unspecified, multicast or broadcast.
     #[error("address {address}; allowed: a unicast IPv4 address that callers can send to")]
     UnusableAddress {
-        /// The address found.
+        /// The invalid address.
         address: SocketAddrV4,
     },
     /// The port is zero.
     #[error("port 0; allowed: 1 to 65535")]
     PortZero,
-    /// A number lies outside its range.
-    #[error("{value}; allowed: {least} to {most}")]
+    /// A number is out of range.
+    #[error("{value}; allowed: {min} to {max}")]
     OutOfRange {
-        /// The number found.
+        /// The invalid number.
         value: u64,
-        /// The least that is allowed.
-        least: u64,
-        /// The most that is allowed.
-        most: u64,
+        /// The minimum.
+        min: u64,
+        /// The maximum.
+        max: u64,
     },
-    /// A path prefix can't start the path of a request.
+    /// A path prefix can't match the path of any request, or is too long.
     #[error(
-        "path prefix {prefix:?}; allowed: 1 to {most} visible ASCII characters that start with `/`, without `?` and `#`"
+        "path prefix {prefix:?}; allowed: 1 to {max} visible ASCII characters that start with `/`, without `?` and `#`"
     )]
-    BadPrefix {
-        /// The prefix found, cut to the allowed length.
+    InvalidPrefix {
+        /// The prefix, truncated to the maximum length.
         prefix: String,
-        /// The most characters that are allowed.
-        most: usize,
+        /// The maximum length in characters.
+        max: usize,
     },
-    /// A method is no upper-case HTTP method.
-    #[error("method {method:?}; allowed: 1 to {most} characters of A-Z and `-`")]
-    BadMethod {
-        /// The method found, cut to the allowed length.
+    /// A method is not an upper-case HTTP method, or is too long.
+    #[error("method {method:?}; allowed: 1 to {max} characters of A-Z and `-`")]
+    InvalidMethod {
+        /// The method, truncated to the maximum length.
         method: String,
-        /// The most characters that are allowed.
-        most: usize,
+        /// The maximum length in characters.
+        max: usize,
     },
-    /// An earlier rule matches every request that this rule matches.
+    /// An earlier rule shadows this one: it matches every request that this one matches.
     #[error("`{by}` matches all of these requests first; allowed: the narrower rule before it")]
     Unreachable {
         /// The place of the earlier rule.
--- a/src/manifest/manifest_check.rs
+++ b/src/manifest/manifest_check.rs
@@ -3,17 +3,17 @@
 use super::{
     FaultCause, Manifest, ManifestFault,
     fault_list::FaultList,
-    service_check::{MOST_NAME_CHARS, check_service, shorten},
+    service_check::{MAX_NAME_CHARS, check_service, truncate},
 };
 
-/// The most services of one manifest.
-pub const MOST_SERVICES: usize = 12_000;
+/// The maximum number of services in a manifest.
+pub const MAX_SERVICES: usize = 12_000;
 
-/// Verifies every rule of a manifest that the shape of its JSON doesn't give.
+/// Validates the values of a decoded manifest.
 ///
 /// # Errors
 ///
-/// Fails with the broken rules in the order of the document, up to a bound.
+/// Fails with the faults found, up to a limit.
 pub fn check_manifest(manifest: &Manifest) -> Result<(), Vec<ManifestFault>> {
     let mut faults = FaultList::default();
     if manifest.version <= manifest.replaces {
@@ -24,7 +24,7 @@
         faults.push("version".to_owned(), cause);
     }
     let count = manifest.services.len();
-    faults.check_count("services".to_owned(), count, MOST_SERVICES);
+    faults.check_count("services".to_owned(), count, MAX_SERVICES);
     check_unique(manifest, &mut faults);
     for (index, service) in manifest.services.iter().enumerate() {
         if faults.is_full() {
@@ -41,13 +41,13 @@
     for (index, service) in manifest.services.iter().enumerate() {
         if let Some(first) = names.insert(service.name.as_str(), index) {
             let cause = FaultCause::DuplicateName {
-                name: shorten(&service.name, MOST_NAME_CHARS),
+                name: truncate(&service.name, MAX_NAME_CHARS),
                 first: format!("services[{first}].name"),
             };
             faults.push(format!("services[{index}].name"), cause);
         }
         if let Some(first) = addresses.insert(service.address, index) {
-            let cause = FaultCause::ClashingAddress {
+            let cause = FaultCause::DuplicateAddress {
                 address: service.address,
                 first: format!("services[{first}].address"),
             };
@@ -57,10 +57,10 @@
 }
 
 impl Manifest {
-    /// Returns the ports that several services share, with the services' names.
+    /// Returns the ports used by several services, with the services' names.
     ///
-    /// Balancers that listen on one IP number tell services apart by port
-    /// alone, so they can't serve such services.
+    /// A balancer that listens on one IP address distinguishes services by port
+    /// alone, so it can't serve them.
     #[must_use]
     pub fn shared_ports(&self) -> BTreeMap<u16, Vec<&str>> {
         let mut ports: BTreeMap<u16, Vec<&str>> = BTreeMap::new();
--- a/src/manifest/manifest_document.rs
+++ b/src/manifest/manifest_document.rs
@@ -6,20 +6,20 @@
 
 use super::ServiceSpec;
 
-/// What a build pipeline hands over: the whole wanted state of the services.
+/// The manifest that a build pipeline submits: the complete desired state of all services.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Manifest {
-    /// The version of this content; it grows by any amount with each change.
+    /// The version of this content; each change increases it by any amount.
     pub version: u64,
-    /// The version that this content replaces; 0 for the first one.
+    /// The version that this content replaces; 0 for the first manifest.
     pub replaces: u64,
     /// The services, in any order.
     pub services: Vec<ServiceSpec>,
 }
 
 impl Manifest {
-    /// Returns the digest of the content, the same on every process.
+    /// Returns the digest of the content, which is the same in every process.
     #[must_use]
     pub fn digest(&self) -> ManifestDigest {
         let text = serde_json::to_vec(self).unwrap_or_default();
--- a/src/manifest/manifest_text.rs
+++ b/src/manifest/manifest_text.rs
@@ -5,71 +5,71 @@
 
 use super::{Manifest, ManifestFault, check_manifest};
 
-/// The largest manifest file in bytes.
-pub const MOST_MANIFEST_BYTES: usize = 32 * 1024 * 1024;
+/// The maximum size of a manifest file.
+pub const MAX_MANIFEST_BYTES: usize = 32 * 1024 * 1024;
 
-/// Why a manifest's text was refused.
+/// Why a manifest could not be loaded or parsed.
 #[derive(Debug, Error, Diagnostic)]
 pub enum ManifestError {
     /// The file could not be read.
     #[error("cannot read the manifest: {0}")]
     Unreadable(#[source] io::Error),
-    /// The text is longer than any manifest.
-    #[error("the manifest has more than {MOST_MANIFEST_BYTES} bytes; allowed: at most that")]
+    /// The text exceeds the size limit.
+    #[error("the manifest is too large; allowed: at most {MAX_MANIFEST_BYTES} bytes")]
     TooLarge,
-    /// The text is no JSON of the expected shape.
+    /// The text is not JSON, or does not match the schema.
     #[error("`{place}`, line {line}, column {column}: {message}")]
     Malformed {
-        /// The place in the document.
+        /// The path of the value in the document.
         place: String,
-        /// The line, from 1.
+        /// The line, starting at 1.
         line: usize,
-        /// The column, from 1.
+        /// The column, starting at 1.
         column: usize,
-        /// What the decoder expected.
+        /// The decoder's message.
         message: String,
     },
-    /// The document breaks rules.
+    /// The document has invalid values.
     #[error("{}", join_faults(faults))]
     Invalid {
-        /// Each broken rule with its place.
+        /// The faults, each with its place.
         faults: Vec<ManifestFault>,
     },
 }
 
-/// The text of a manifest, as a build pipeline wrote it.
+/// The JSON text of a manifest.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ManifestText(String);
 
 impl ManifestText {
-    /// Wraps a text that was read elsewhere.
+    /// Wraps a text without checking it.
     #[must_use]
     pub fn new(text: impl Into<String>) -> Self {
         Self(text.into())
     }
 
-    /// Reads the text of the file at `path`, within the size bound.
+    /// Reads the file at `path`, at most one byte more than the size limit.
     ///
     /// # Errors
     ///
-    /// Fails when the file can't be read or is too large.
+    /// Fails when the file can't be read or is not UTF-8; `parse` refuses an oversized text.
     pub fn load(path: &Path) -> Result<Self, ManifestError> {
-        let bound = u64::try_from(MOST_MANIFEST_BYTES).unwrap_or(u64::MAX);
+        let limit = u64::try_from(MAX_MANIFEST_BYTES).unwrap_or(u64::MAX);
         let mut text = String::new();
         File::open(path)
-            .and_then(|file| file.take(bound + 1).read_to_string(&mut text))
+            .and_then(|file| file.take(limit + 1).read_to_string(&mut text))
             .map_err(ManifestError::Unreadable)?;
         Ok(Self(text))
     }
 
-    /// Decodes the text and verifies every rule.
+    /// Decodes and validates the text.
     ///
     /// # Errors
     ///
-    /// Fails with the place of the first malformed value, or with every
-    /// broken rule of a well-formed document.
+    /// Fails with the place of the first malformed value, or with the faults of
+    /// a well-formed document.
     pub fn parse(&self) -> Result<Manifest, ManifestError> {
-        if self.0.len() > MOST_MANIFEST_BYTES {
+        if self.0.len() > MAX_MANIFEST_BYTES {
             return Err(ManifestError::TooLarge);
         }
         let manifest = self.decode()?;
@@ -91,25 +91,25 @@
     ///
     /// # Errors
     ///
-    /// Fails when the encoder does; plain data gives it no reason to.
+    /// Fails when the encoder does, which plain data does not cause.
     pub fn to_text(&self) -> Result<ManifestText, serde_json::Error> {
         serde_json::to_string_pretty(self).map(ManifestText)
     }
 }
 
 fn malformed(place: &str, error: &serde_json::Error) -> ManifestError {
-    // The decoder names no place within text that breaks off.
+    // The decoder reports the path `?` for a truncated text.
     let place = if place == "?" { "." } else { place };
     ManifestError::Malformed {
         place: place.to_owned(),
         line: error.line(),
         column: error.column(),
-        message: bare_message(error),
+        message: message_without_position(error),
     }
 }
 
-/// Returns the decoder's message without the place that it ends with.
-fn bare_message(error: &serde_json::Error) -> String {
+/// Returns the decoder's message without its trailing line and column.
+fn message_without_position(error: &serde_json::Error) -> String {
     let message = error.to_string();
     match message.rfind(" at line ") {
         Some(end) => message[..end].to_owned(),
--- a/src/manifest/mod.rs
+++ b/src/manifest/mod.rs
@@ -1,4 +1,4 @@
-//! The manifest: every service with its address, limits and rules.
+//! The operators' manifest of all services with their addresses, limits and rules.
 
 mod fault_cause;
 mod fault_list;
@@ -13,13 +13,13 @@
 mod traffic_rule;
 
 pub use fault_cause::FaultCause;
-pub use manifest_check::{MOST_SERVICES, check_manifest};
+pub use manifest_check::{MAX_SERVICES, check_manifest};
 pub use manifest_document::{Manifest, ManifestDigest};
 pub use manifest_fault::ManifestFault;
-pub use manifest_text::{MOST_MANIFEST_BYTES, ManifestError, ManifestText};
-pub use rule_check::{MOST_METHOD_CHARS, MOST_METHODS, MOST_PREFIX_CHARS};
+pub use manifest_text::{MAX_MANIFEST_BYTES, ManifestError, ManifestText};
+pub use rule_check::{MAX_METHOD_CHARS, MAX_METHODS, MAX_PREFIX_CHARS};
 pub use rule_match::{RequestTreatment, is_idempotent};
-pub use service_check::{MOST_NAME_CHARS, MOST_RULES};
+pub use service_check::{MAX_NAME_CHARS, MAX_RULES};
 pub use service_spec::{ServiceLimits, ServiceSpec};
 pub use traffic_rule::{RequestPriority, TrafficRule};
 
--- a/src/manifest/rule_check.rs
+++ b/src/manifest/rule_check.rs
@@ -3,17 +3,17 @@
 use super::{
     FaultCause, TrafficRule,
     fault_list::FaultList,
-    service_check::{DEADLINE_MILLIS, MOST_NAME_CHARS, check_name, shorten},
+    service_check::{DEADLINE_MILLIS, MAX_NAME_CHARS, check_name, truncate},
 };
 
-/// The most characters of a path prefix.
-pub const MOST_PREFIX_CHARS: usize = 256;
-/// The most methods of one rule.
-pub const MOST_METHODS: usize = 16;
-/// The most characters of a method.
-pub const MOST_METHOD_CHARS: usize = 32;
+/// The maximum length of a path prefix.
+pub const MAX_PREFIX_CHARS: usize = 256;
+/// The maximum number of methods in a rule.
+pub const MAX_METHODS: usize = 16;
+/// The maximum length of a method.
+pub const MAX_METHOD_CHARS: usize = 32;
 
-/// Verifies one rule on its own, whose place in the document is `place`.
+/// Validates the rule at `place`, apart from the other rules.
 pub(super) fn check_rule(rule: &TrafficRule, place: &str, faults: &mut FaultList) {
     check_name(&rule.name, format!("{place}.name"), faults);
     check_methods(&rule.methods, &format!("{place}.methods"), faults);
@@ -27,21 +27,21 @@
     }
 }
 
-/// Finds equal names and rules that an earlier one makes unreachable.
+/// Finds duplicate names, and rules that an earlier one shadows.
 pub(super) fn check_rule_order(rules: &[TrafficRule], place: &str, faults: &mut FaultList) {
     let mut names = HashMap::new();
     for (index, rule) in rules.iter().enumerate() {
         if let Some(first) = names.insert(rule.name.as_str(), index) {
             let cause = FaultCause::DuplicateName {
-                name: shorten(&rule.name, MOST_NAME_CHARS),
+                name: truncate(&rule.name, MAX_NAME_CHARS),
                 first: format!("{place}.rules[{first}].name"),
             };
             faults.push(format!("{place}.rules[{index}].name"), cause);
         }
-        let hiding = rules[..index]
+        let shadowing = rules[..index]
             .iter()
-            .position(|earlier| hides(earlier, rule));
-        if let Some(by) = hiding {
+            .position(|earlier| shadows(earlier, rule));
+        if let Some(by) = shadowing {
             let cause = FaultCause::Unreachable {
                 by: format!("{place}.rules[{by}]"),
             };
@@ -51,7 +51,7 @@
 }
 
 /// Returns whether `earlier` matches every request that `later` matches.
-fn hides(earlier: &TrafficRule, later: &TrafficRule) -> bool {
+fn shadows(earlier: &TrafficRule, later: &TrafficRule) -> bool {
     later.path_prefix.starts_with(&earlier.path_prefix) && covers_methods(earlier, later)
 }
 
@@ -67,16 +67,16 @@
 }
 
 fn check_methods(methods: &[String], place: &str, faults: &mut FaultList) {
-    faults.check_count(place.to_owned(), methods.len(), MOST_METHODS);
-    for (index, method) in methods.iter().enumerate().take(MOST_METHODS) {
-        let good = (1..=MOST_METHOD_CHARS).contains(&method.len())
+    faults.check_count(place.to_owned(), methods.len(), MAX_METHODS);
+    for (index, method) in methods.iter().enumerate().take(MAX_METHODS) {
+        let is_valid = (1..=MAX_METHOD_CHARS).contains(&method.len())
             && method
                 .bytes()
                 .all(|byte| byte.is_ascii_uppercase() || byte == b'-');
-        if !good {
-            let cause = FaultCause::BadMethod {
-                method: shorten(method, MOST_METHOD_CHARS),
-                most: MOST_METHOD_CHARS,
+        if !is_valid {
+            let cause = FaultCause::InvalidMethod {
+                method: truncate(method, MAX_METHOD_CHARS),
+                max: MAX_METHOD_CHARS,
             };
             faults.push(format!("{place}[{index}]"), cause);
         }
@@ -84,15 +84,15 @@
 }
 
 fn check_prefix(prefix: &str, place: String, faults: &mut FaultList) {
-    let good = prefix.starts_with('/')
-        && prefix.len() <= MOST_PREFIX_CHARS
+    let is_valid = prefix.starts_with('/')
+        && prefix.len() <= MAX_PREFIX_CHARS
         && prefix
             .bytes()
             .all(|byte| byte.is_ascii_graphic() && !matches!(byte, b'?' | b'#'));
-    if !good {
-        let cause = FaultCause::BadPrefix {
-            prefix: shorten(prefix, MOST_PREFIX_CHARS),
-            most: MOST_PREFIX_CHARS,
+    if !is_valid {
+        let cause = FaultCause::InvalidPrefix {
+            prefix: truncate(prefix, MAX_PREFIX_CHARS),
+            max: MAX_PREFIX_CHARS,
         };
         faults.push(place, cause);
     }
--- a/src/manifest/rule_match.rs
+++ b/src/manifest/rule_match.rs
@@ -1,36 +1,36 @@
 use super::{RequestPriority, ServiceSpec, TrafficRule};
 use crate::clock::SpanMillis;
 
-/// How one request is treated, after the rules and defaults of its service.
+/// How a request is handled, from its service's rules and defaults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestTreatment {
-    /// The place in the queue.
+    /// The queue priority.
     pub priority: RequestPriority,
-    /// The deadline if the request brings none.
+    /// The deadline if the request has none of its own.
     pub deadline: SpanMillis,
-    /// Whether the request may run twice.
+    /// Whether the request may be executed twice.
     pub idempotent: bool,
-    /// Whether the request is a stream that holds no slot while open.
+    /// Whether the request is a stream, which occupies no slot while open.
     pub stream: bool,
 }
 
 impl TrafficRule {
-    /// Returns whether the rule covers a request.
+    /// Returns whether the rule matches a request.
     #[must_use]
     pub fn matches(&self, method: &str, path: &str) -> bool {
         path.starts_with(&self.path_prefix)
-            && (self.methods.is_empty() || self.methods.iter().any(|listed| listed == method))
+            && (self.methods.is_empty() || self.methods.iter().any(|allowed| allowed == method))
     }
 }
 
 impl ServiceSpec {
-    /// Returns the first rule that covers a request.
+    /// Returns the first rule that matches a request.
     #[must_use]
     pub fn rule_for(&self, method: &str, path: &str) -> Option<&TrafficRule> {
         self.rules.iter().find(|rule| rule.matches(method, path))
     }
 
-    /// Returns how a request is treated, with defaults where no rule speaks.
+    /// Returns how a request is handled, with the defaults where no rule applies.
     #[must_use]
     pub fn treatment_for(&self, method: &str, path: &str) -> RequestTreatment {
         let rule = self.rule_for(method, path);
@@ -47,7 +47,7 @@
 
 /// Returns whether RFC 9110 defines the method as idempotent.
 ///
-/// Methods that it doesn't know are taken as not idempotent.
+/// Unknown methods count as not idempotent.
 #[must_use]
 pub fn is_idempotent(method: &str) -> bool {
     matches!(
--- a/src/manifest/service_check.rs
+++ b/src/manifest/service_check.rs
@@ -6,19 +6,19 @@
     rule_check::{check_rule, check_rule_order},
 };
 
-/// The most characters of a service's or rule's name.
-pub const MOST_NAME_CHARS: usize = 64;
-/// The most rules of one service.
-pub const MOST_RULES: usize = 64;
+/// The maximum length of a service's or rule's name.
+pub const MAX_NAME_CHARS: usize = 64;
+/// The maximum number of rules in a service.
+pub const MAX_RULES: usize = 64;
 
-/// Deadlines from a millisecond to a day.
+/// The allowed deadlines: 1 ms to one day.
 pub(super) const DEADLINE_MILLIS: RangeInclusive<u64> = 1..=86_400_000;
 const SLOTS: RangeInclusive<u64> = 1..=1_000;
 const CONNECTIONS: RangeInclusive<u64> = 1..=100_000;
 const QUEUE: RangeInclusive<u64> = 0..=10_000;
 const RETRY_PERCENT: RangeInclusive<u64> = 0..=100;
 
-/// Verifies one service, whose place in the document is `place`.
+/// Validates the service at `place`.
 pub(super) fn check_service(service: &ServiceSpec, place: &str, faults: &mut FaultList) {
     check_name(&service.name, format!("{place}.name"), faults);
     check_address(service.address, format!("{place}.address"), faults);
@@ -36,8 +36,8 @@
         &RETRY_PERCENT,
     );
     let count = service.rules.len();
-    faults.check_count(format!("{place}.rules"), count, MOST_RULES);
-    if count > MOST_RULES {
+    faults.check_count(format!("{place}.rules"), count, MAX_RULES);
+    if count > MAX_RULES {
         return;
     }
     for (index, rule) in service.rules.iter().enumerate() {
@@ -46,25 +46,25 @@
     check_rule_order(&service.rules, place, faults);
 }
 
-/// Verifies the length and characters of a name.
+/// Validates the length and characters of a name.
 pub(super) fn check_name(name: &str, place: String, faults: &mut FaultList) {
-    let good = !name.is_empty()
-        && name.len() <= MOST_NAME_CHARS
+    let is_valid = !name.is_empty()
+        && name.len() <= MAX_NAME_CHARS
         && name.bytes().all(is_name_byte)
         && name != "."
         && name != "..";
-    if !good {
-        let cause = FaultCause::BadName {
-            name: shorten(name, MOST_NAME_CHARS),
-            most: MOST_NAME_CHARS,
+    if !is_valid {
+        let cause = FaultCause::InvalidName {
+            name: truncate(name, MAX_NAME_CHARS),
+            max: MAX_NAME_CHARS,
         };
         faults.push(place, cause);
     }
 }
 
-/// Returns the first `most` characters of a text that an error is to quote.
-pub(super) fn shorten(text: &str, most: usize) -> String {
-    text.chars().take(most).collect()
+/// Returns the first `max` characters of a text, for use in an error.
+pub(super) fn truncate(text: &str, max: usize) -> String {
+    text.chars().take(max).collect()
 }
 
 fn is_name_byte(byte: u8) -> bool {
--- a/src/manifest/tests/matching.rs
+++ b/src/manifest/tests/matching.rs
@@ -1,8 +1,8 @@
-//! The first rule that matches decides; the method tells the rest.
+//! The first matching rule applies; defaults cover what it leaves out.
 
 use rstest::rstest;
 
-use super::good_manifest;
+use super::valid_manifest;
 use crate::manifest::{RequestPriority, is_idempotent};
 
 #[rstest]
@@ -10,15 +10,15 @@
 #[case("POST", "/stop/pen-4", "stop")]
 #[case("GET", "/stop", "rest")]
 #[case("POST", "/plan", "put-plan")]
-fn the_first_matching_rule_decides(#[case] method: &str, #[case] path: &str, #[case] name: &str) {
-    let manifest = good_manifest();
+fn the_first_matching_rule_applies(#[case] method: &str, #[case] path: &str, #[case] name: &str) {
+    let manifest = valid_manifest();
     let rule = manifest.services[0].rule_for(method, path);
     assert_eq!(rule.map(|rule| rule.name.as_str()), Some(name));
 }
 
 #[test]
 fn a_service_without_rules_has_defaults() {
-    let manifest = good_manifest();
+    let manifest = valid_manifest();
     let service = &manifest.services[1];
     assert_eq!(service.rule_for("POST", "/"), None);
     let treatment = service.treatment_for("POST", "/");
@@ -32,12 +32,12 @@
 #[case("POST", "/plan", true)]
 #[case("POST", "/stop", false)]
 #[case("PUT", "/stop", true)]
-fn a_rule_goes_before_the_method(
+fn a_rule_overrides_the_default_of_the_method(
     #[case] method: &str,
     #[case] path: &str,
     #[case] idempotent: bool,
 ) {
-    let manifest = good_manifest();
+    let manifest = valid_manifest();
     let treatment = manifest.services[0].treatment_for(method, path);
     assert_eq!(treatment.idempotent, idempotent);
 }
--- a/src/manifest/tests/mod.rs
+++ b/src/manifest/tests/mod.rs
@@ -6,8 +6,8 @@
 
 use super::{Manifest, ManifestText};
 
-/// Two services that keep every rule.
-const GOOD_TEXT: &str = r#"{
+/// A valid manifest with two services.
+const VALID_TEXT: &str = r#"{
   "version": 2,
   "replaces": 1,
   "services": [
@@ -20,8 +20,8 @@
   ]
 }"#;
 
-fn good_manifest() -> Manifest {
-    ManifestText::new(GOOD_TEXT)
+fn valid_manifest() -> Manifest {
+    ManifestText::new(VALID_TEXT)
         .parse()
-        .expect("the sample keeps every rule")
+        .expect("the sample is valid")
 }
--- a/src/manifest/tests/text.rs
+++ b/src/manifest/tests/text.rs
@@ -1,16 +1,16 @@
-//! Text is decoded or refused with its place; it never panics.
+//! Any text is decoded or refused with the place of the fault, without a panic.
 
 use proptest::prelude::*;
 
-use super::{GOOD_TEXT, good_manifest};
+use super::{VALID_TEXT, valid_manifest};
 use crate::{
     clock::SpanMillis,
     manifest::{Manifest, ManifestError, ManifestText, ServiceLimits, ServiceSpec, check_manifest},
 };
 
 #[test]
-fn an_unknown_field_is_named_with_line_and_column() {
-    let text = GOOD_TEXT.replace("\"logbook\"", "\"logbook\", \"adress\": 1");
+fn an_unknown_field_is_reported_with_line_and_column() {
+    let text = VALID_TEXT.replace("\"logbook\"", "\"logbook\", \"adress\": 1");
     let error = ManifestText::new(text).parse().expect_err("unknown field");
     let ManifestError::Malformed {
         place,
@@ -28,8 +28,8 @@
 }
 
 #[test]
-fn a_field_that_stands_twice_is_refused() {
-    let text = GOOD_TEXT.replacen("\"version\": 2", "\"version\": 2, \"version\": 3", 1);
+fn a_duplicate_field_is_refused() {
+    let text = VALID_TEXT.replacen("\"version\": 2", "\"version\": 2, \"version\": 3", 1);
     let error = ManifestText::new(text).parse();
     assert!(matches!(error, Err(ManifestError::Malformed { .. })));
 }
@@ -48,7 +48,7 @@
             },
             deadline: SpanMillis::new(u64::from(connections)),
             retry_percent,
-            rules: good_manifest().services[0].rules.clone(),
+            rules: valid_manifest().services[0].rules.clone(),
         }
     })
 }
@@ -70,18 +70,18 @@
     }
 
     #[test]
-    fn a_damaged_document_is_decoded_or_refused(at in 0..GOOD_TEXT.len(), byte in any::<u8>()) {
-        let mut bytes = GOOD_TEXT.as_bytes().to_vec();
+    fn a_damaged_document_is_decoded_or_refused(at in 0..VALID_TEXT.len(), byte in any::<u8>()) {
+        let mut bytes = VALID_TEXT.as_bytes().to_vec();
         bytes[at] = byte;
         let _ = ManifestText::new(String::from_utf8_lossy(&bytes)).parse();
     }
 
     #[test]
-    fn a_checked_manifest_round_trips(manifest in any_manifest()) {
+    fn a_valid_manifest_round_trips(manifest in any_manifest()) {
         prop_assert_eq!(check_manifest(&manifest), Ok(()));
         let text = manifest.to_text().expect("plain data");
-        let again = text.parse().expect("the same document");
-        prop_assert_eq!(again.digest(), manifest.digest());
-        prop_assert_eq!(again, manifest);
+        let parsed = text.parse().expect("the same document");
+        prop_assert_eq!(parsed.digest(), manifest.digest());
+        prop_assert_eq!(parsed, manifest);
     }
 }
