--- a/src/control/client/tests/failover.rs
+++ b/src/control/client/tests/failover.rs
@@ -35,7 +35,7 @@
     }
     match plan.record_fault(last.clone(), DEADLINE, &mut random) {
         FailoverStep::Fail(error) => error,
-        FailoverStep::Retry { .. } => panic!("the deadline is over"),
+        FailoverStep::Retry { .. } => panic!("the deadline has passed"),
     }
 }
 
--- a/src/control/control_run.rs
+++ b/src/control/control_run.rs
@@ -18,7 +18,7 @@
     secret::{SecretError, SecretStore},
 };
 
-/// Why `cyclamen-control` stopped.
+/// Why `cyclamen-control` could not start, or stopped.
 #[derive(Debug, Error, Diagnostic)]
 pub enum ControlError {
     /// The deployment secret is unusable.
@@ -30,25 +30,25 @@
     #[diagnostic(transparent)]
     Server(#[from] ServerError),
     /// The data folder can't be written.
-    #[error("cannot write into the data folder: {0}")]
+    #[error("cannot write to the data folder: {0}")]
     DataFolder(#[source] io::Error),
-    /// The replica of the log can't start, or can't go on.
+    /// The log replica could not start, or failed.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Replica(#[from] ReplicaShellError),
-    /// Metrics can't be offered.
-    #[error("cannot offer metrics: {0}")]
+    /// The metrics listener could not start.
+    #[error("cannot serve metrics: {0}")]
     Metrics(#[from] BuildError),
-    /// The system hands over no signals.
-    #[error("cannot wait for signals: {0}")]
+    /// The signal handler could not be installed.
+    #[error("cannot listen for signals: {0}")]
     Signals(#[source] io::Error),
 }
 
-/// Runs a control replica until it is told to stop.
+/// Runs a control replica until SIGTERM or Ctrl-C.
 ///
 /// # Errors
 ///
-/// Fails when it can't start.
+/// Fails when the replica can't start, or when its log fails.
 pub async fn run_control(settings: ControlSettings) -> Result<(), ControlError> {
     start_logs(settings.log_format);
     let mut terminate = signal(SignalKind::terminate()).map_err(ControlError::Signals)?;
@@ -82,7 +82,7 @@
     }
     server.stop().await;
     if let Some(error) = failure {
-        // Nothing may be acknowledged any more.
+        // Without its log, the replica must not acknowledge anything.
         log_event!(error, ControlEvent::ReplicaFailed, %error);
         return Err(error.into());
     }
--- a/src/control/control_settings.rs
+++ b/src/control/control_settings.rs
@@ -17,10 +17,10 @@
     settings::{SettingsCheck, SettingsError},
 };
 
-/// The folder of the log within the data folder.
+/// The folder of the replicated log, within the data folder.
 const LOG_FOLDER: &str = "replica";
-/// The most other replicas of a group.
-const MOST_PEERS: usize = 6;
+/// The maximum number of other replicas in the group.
+const MAX_PEERS: usize = 6;
 
 /// The settings of `cyclamen-control`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -28,37 +28,37 @@
 pub struct ControlSettings {
     /// The replica's name.
     pub name: String,
-    /// Where the replica runs.
+    /// The region and failure domain that the replica runs in.
     pub domain: DomainName,
-    /// The address that calls arrive at; port 0 lets the system choose.
+    /// The address on which the replica serves calls; port 0 selects a free port.
     pub listen: SocketAddrV4,
-    /// This replica's place in the group; no other replica has the same.
-    #[serde(default = "first_replica")]
+    /// This replica's number, unique in the group.
+    #[serde(default = "default_replica")]
     pub replica: u8,
-    /// The address that the other replicas connect to; needed with `peers`.
+    /// The address on which it listens for other replicas; required with `peers`.
     #[serde(default)]
     pub link_listen: Option<SocketAddrV4>,
     /// The other replicas.
     #[serde(default)]
     pub peers: Vec<PeerSettings>,
-    /// The folder that holds everything that must survive.
+    /// The folder of all persistent data.
     pub data_folder: PathBuf,
     /// The file of the deployment secret.
     pub secret_file: PathBuf,
-    /// Where metrics can be fetched, if anywhere.
+    /// The address on which metrics are served, if any.
     #[serde(default)]
     pub metrics_listen: Option<SocketAddrV4>,
-    /// How log lines are written.
+    /// The format of log lines.
     #[serde(default)]
     pub log_format: LogFormat,
 }
 
-const fn first_replica() -> u8 {
+const fn default_replica() -> u8 {
     1
 }
 
 impl ControlSettings {
-    /// Returns what the replica of the log needs to start.
+    /// Returns the options of the log replica.
     pub(crate) fn replica_options(&self) -> ReplicaOptions {
         let peers = self.peers.iter().map(|peer| PeerAddress {
             replica: ReplicaId::new(peer.replica.into()),
@@ -76,11 +76,13 @@
         }
     }
 
-    /// Returns the first place that two replicas have.
-    fn doubled_place(&self) -> Option<u8> {
-        let mut places = BTreeSet::from([self.replica]);
+    /// Returns the first replica number that is used twice.
+    fn duplicate_replica(&self) -> Option<u8> {
+        let mut replicas = BTreeSet::from([self.replica]);
         let others = self.peers.iter().map(|peer| peer.replica);
-        others.into_iter().find(|place| !places.insert(*place))
+        others
+            .into_iter()
+            .find(|replica| !replicas.insert(*replica))
     }
 }
 
@@ -91,7 +93,7 @@
                 path: path.to_owned(),
                 field: "name",
                 value: "empty".to_owned(),
-                allowed: "a name of at least one letter",
+                allowed: "a non-empty name",
             });
         }
         let out_of_range = |field, value, allowed| {
@@ -102,17 +104,21 @@
                 allowed,
             })
         };
-        if let Some(place) = self.doubled_place() {
-            let value = place.to_string();
-            return out_of_range("peers", value, "a place of its own for each replica");
+        if let Some(replica) = self.duplicate_replica() {
+            let value = replica.to_string();
+            return out_of_range(
+                "peers",
+                value,
+                "a different replica number for each replica",
+            );
         }
-        if self.peers.len() > MOST_PEERS {
+        if self.peers.len() > MAX_PEERS {
             let value = format!("{} replicas", self.peers.len());
             return out_of_range("peers", value, "at most 6 other replicas");
         }
         if !self.peers.is_empty() && self.link_listen.is_none() {
             let value = "absent".to_owned();
-            return out_of_range("link_listen", value, "an address, since there are peers");
+            return out_of_range("link_listen", value, "an address, required with `peers`");
         }
         Ok(())
     }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control group: what must be agreed is kept and handed out here.
+//! The control group: keeps the state that replicas must agree on and serves it to others.
 
 pub mod api;
 pub mod client;
--- a/src/control/peer_settings.rs
+++ b/src/control/peer_settings.rs
@@ -2,14 +2,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Another replica of the control group, as the settings list it.
+/// The settings entry of another replica of the control group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
-    /// The replica's place in the group.
+    /// The replica's number, unique in the group.
     pub replica: u8,
-    /// Where it listens for other replicas.
+    /// The address on which it listens for other replicas.
     pub link: SocketAddrV4,
-    /// Where it answers calls.
+    /// The address on which it serves calls.
     pub calls: SocketAddrV4,
 }
