--- a/src/manifest/fault_cause.rs
+++ b/src/manifest/fault_cause.rs
@@ -35,7 +35,7 @@
     DuplicateName {
         /// The name.
         name: String,
-        /// The place of the first entry with that name.
+        /// The place of an earlier entry with that name.
         first: String,
     },
     /// Two services have the same address and port.
@@ -43,7 +43,7 @@
     DuplicateAddress {
         /// The address and port.
         address: SocketAddrV4,
-        /// The place of the first service with that address.
+        /// The place of an earlier service with that address.
         first: String,
     },
     /// The address is unspecified, multicast or broadcast.
