--- a/src/control/server/watch_call.rs
+++ b/src/control/server/watch_call.rs
@@ -24,8 +24,10 @@
 #[serde(untagged)]
 pub(crate) enum WatchReply {
     /// No changes after the watcher's revision.
+    #[serde(rename = "Idle")]
     Unchanged(FeedReply),
     /// A delta or a snapshot, already encoded.
+    #[serde(rename = "News")]
     Encoded(#[serde(serialize_with = "serialize_raw")] Arc<RawValue>),
 }
 
