--- a/src/cli/cli_error.rs
+++ b/src/cli/cli_error.rs
@@ -12,27 +12,27 @@
 /// Why a command failed.
 #[derive(Debug, Error, Diagnostic)]
 pub(crate) enum CliError {
-    /// The command line can't be understood.
+    /// The command line is invalid.
     #[error(transparent)]
-    Usage(#[from] UsageFault),
-    /// The operator's settings were refused.
+    Usage(#[from] UsageError),
+    /// The operator's settings could not be loaded.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Settings(#[from] SettingsError),
-    /// The manifest was refused.
+    /// The manifest could not be read or is invalid.
     #[error("{path}: {cause}")]
     Manifest {
-        /// The manifest's file.
+        /// The manifest file.
         path: PathBuf,
         /// What is wrong with it.
         #[source]
         cause: ManifestError,
     },
-    /// The deployment secret was refused.
+    /// The deployment secret could not be loaded or rotated.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Secret(#[from] SecretError),
-    /// A certificate was refused or could not be made.
+    /// A certificate could not be loaded or generated.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Tls(#[from] TlsError),
@@ -40,16 +40,16 @@
     #[error(transparent)]
     #[diagnostic(transparent)]
     Caller(#[from] CallerError),
-    /// The control group refused a call or was not reached.
+    /// The control group rejected a call or was unreachable.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Control(#[from] ControlClientError),
-    /// A process gave no answer, or refused.
+    /// A process did not answer an admin call, or rejected it.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Admin(#[from] AdminError),
-    /// A process answered no inspection.
-    #[error("{address} answered no inspection: {cause}")]
+    /// An inspection request failed.
+    #[error("inspecting {address} failed: {cause}")]
     Inspect {
         /// The inspection address.
         address: SocketAddrV4,
@@ -57,23 +57,23 @@
         #[source]
         cause: io::Error,
     },
-    /// The demo could not be staged.
+    /// The demo could not be set up.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Demo(#[from] DemoError),
-    /// No temporary folder can be made.
-    #[error("cannot make a temporary folder: {0}")]
+    /// No temporary folder could be created.
+    #[error("cannot create a temporary folder: {0}")]
     TemporaryFolder(#[source] io::Error),
-    /// The time that the operator gave has passed.
-    #[error("no answer within {seconds} s")]
+    /// No response arrived within the operator's timeout.
+    #[error("no response within {seconds} s")]
     TimedOut {
-        /// The time that was given.
+        /// The timeout in seconds.
         seconds: u64,
     },
     /// A file could not be read.
     #[error("cannot read {path}: {cause}")]
     Unreadable {
-        /// The file that was asked for.
+        /// The file.
         path: PathBuf,
         /// What the system answered.
         #[source]
@@ -88,13 +88,13 @@
         #[source]
         cause: io::Error,
     },
-    /// The runtime could not be started.
+    /// The async runtime could not be started.
     #[error("cannot start the runtime: {0}")]
     Runtime(#[source] io::Error),
 }
 
 impl CliError {
-    /// Returns the exit status that a pipeline sees.
+    /// Returns the exit status of the process for this error.
     pub(crate) fn exit_status(&self) -> ExitStatus {
         match self {
             Self::Usage(_) => ExitStatus::Usage,
@@ -103,13 +103,13 @@
     }
 }
 
-/// What is wrong with a command line.
+/// An error in the command line.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
-pub(crate) enum UsageFault {
-    /// The options can't be parsed.
+pub(crate) enum UsageError {
+    /// The options could not be parsed.
     #[error("{message}")]
     Options {
-        /// What the parser met.
+        /// The parser's message.
         message: String,
     },
     /// An argument is missing.
@@ -118,14 +118,14 @@
         /// The argument's name.
         name: &'static str,
     },
-    /// An argument has a value that is not allowed.
+    /// An argument has an invalid value.
     #[error("{name} is {value:?}; allowed: {allowed}")]
     BadValue {
         /// The argument's name.
         name: &'static str,
-        /// The value found.
+        /// The invalid value.
         value: String,
-        /// What would have been accepted.
+        /// A description of the valid values.
         allowed: &'static str,
     },
 }
--- a/src/cli/cli_event.rs
+++ b/src/cli/cli_event.rs
@@ -1,7 +1,7 @@
 use crate::event::event_codes;
 
 event_codes! {
-    /// Events of the cli, 4000 to 4999.
+    /// Log events of the command line; numbers 4000 to 4999.
     pub(crate) enum CliEvent {
         Started = 4001 => "cli started",
     }
--- a/src/cli/cli_options.rs
+++ b/src/cli/cli_options.rs
@@ -13,19 +13,17 @@
 /// The command line of `cyclamen`.
 #[derive(Debug, Options)]
 pub(crate) struct CliOptions {
-    /// Prints the help text.
     #[options(help = "print this text")]
     pub(crate) help: bool,
-    /// Prints the version.
     #[options(no_short, help = "print the version")]
     pub(crate) version: bool,
-    /// The operator's settings.
+    /// The operator's settings file.
     #[options(meta = "FILE", help = "read the operator's settings from FILE")]
     pub(crate) settings: Option<PathBuf>,
-    /// Checks the settings and stops.
-    #[options(no_short, help = "check the settings and stop")]
+    /// Validates the settings file and exits.
+    #[options(no_short, help = "check the settings and exit")]
     pub(crate) check_settings: bool,
-    /// The command with its own options.
+    /// The subcommand with its own options.
     #[options(command)]
     pub(crate) command: Option<CliCommand>,
 }
@@ -33,40 +31,40 @@
 /// The commands of `cyclamen`.
 #[derive(Debug, Options)]
 pub(crate) enum CliCommand {
-    /// Checks a manifest.
-    #[options(help = "check a manifest")]
+    /// Validates a manifest offline.
+    #[options(help = "validate a manifest file")]
     Check(CheckOptions),
-    /// Hands a manifest over.
+    /// Submits a manifest to control.
     #[options(help = "put a manifest in force")]
     Apply(ApplyOptions),
-    /// Prints how control does.
-    #[options(help = "print how control does and where the manifest is in force")]
+    /// Prints the state of the control group and the rollout of the manifest.
+    #[options(help = "print the state of control and where the manifest is in force")]
     Status(StatusOptions),
-    /// Prints the state of a process.
-    #[options(help = "print the whole state of one process")]
+    /// Prints the state of a process from its admin address.
+    #[options(help = "print the full state of one process")]
     Dump(DumpOptions),
-    /// Prints the state of a process of a deployment found from seeds.
+    /// Prints the state of an entry VM or agent from its inspection address.
     #[options(help = "print the state of an entry VM or agent, or look up a flow")]
     Inspect(InspectOptions),
-    /// Leads a target through a planned stop.
-    #[options(help = "drain an upstream, cancel that, or look at it")]
+    /// Drains the target of an agent.
+    #[options(help = "drain an upstream, or cancel or query its drain")]
     Drain(DrainOptions),
     /// Sends a request to a service.
     #[options(help = "send one HTTP/3 request to a service")]
     Call(CallOptions),
-    /// Makes or rotates the deployment secret.
-    #[options(help = "make or rotate the deployment secret")]
+    /// Generates or rotates the deployment secret.
+    #[options(help = "generate or rotate the deployment secret")]
     Secret(SecretOptions),
-    /// Makes a certificate for trials.
-    #[options(help = "make a certificate for trials")]
+    /// Generates a test certificate.
+    #[options(help = "generate a certificate for testing")]
     TlsTestCertificate(CertificateOptions),
-    /// Shows a whole site at work.
-    #[options(help = "run a whole site on loopback and count what happens")]
+    /// Runs a complete site on loopback under load.
+    #[options(help = "run a complete site on loopback and report the results")]
     Demo(DemoOptions),
 }
 
 impl CliCommand {
-    /// Returns for whom the command writes its report.
+    /// Returns the output format that the command's options select.
     pub(crate) const fn output(&self) -> OutputFormat {
         let json = match self {
             Self::Check(options) => options.json,
--- a/src/cli/cli_run.rs
+++ b/src/cli/cli_run.rs
@@ -7,7 +7,7 @@
 use gumdrop::Options;
 
 use super::{
-    CliError, CliEvent, OperatorSettings, OutputFormat, UsageFault,
+    CliError, CliEvent, OperatorSettings, OutputFormat, UsageError,
     cli_options::{CliCommand, CliOptions},
 };
 use crate::{
@@ -16,7 +16,7 @@
     settings::load_settings,
 };
 
-/// Runs the operator's command line.
+/// Runs the command line of this process.
 #[must_use]
 pub fn run_cli() -> ExitCode {
     start_quiet_logs();
@@ -30,10 +30,10 @@
     let options = match CliOptions::parse_args_default(arguments) {
         Ok(options) => options,
         Err(error) => {
-            let fault = UsageFault::Options {
+            let error = UsageError::Options {
                 message: format!("{error}; see cyclamen --help"),
             };
-            return fail(wanted_format(arguments), &fault.into());
+            return report_error(requested_format(arguments), &error.into());
         }
     };
     if options.help_requested() {
@@ -48,28 +48,28 @@
         return check_settings(options.settings.as_deref());
     }
     let Some(command) = &options.command else {
-        let fault = UsageFault::Missing { name: "COMMAND" };
-        return fail(OutputFormat::Text, &fault.into());
+        let error = UsageError::Missing { name: "COMMAND" };
+        return report_error(OutputFormat::Text, &error.into());
     };
     match run_command(command, options.settings.clone()) {
         Ok(status) => status,
-        Err(error) => fail(command.output(), &error),
+        Err(error) => report_error(command.output(), &error),
     }
 }
 
 fn check_settings(path: Option<&Path>) -> ExitStatus {
     let Some(path) = path else {
-        let fault = UsageFault::Missing {
+        let error = UsageError::Missing {
             name: "--settings FILE",
         };
-        return fail(OutputFormat::Text, &fault.into());
+        return report_error(OutputFormat::Text, &error.into());
     };
     match load_settings::<OperatorSettings>(path) {
         Ok(_) => {
             println!("{}: settings are good", path.display());
             ExitStatus::Done
         }
-        Err(error) => fail(OutputFormat::Text, &error.into()),
+        Err(error) => report_error(OutputFormat::Text, &error.into()),
     }
 }
 
@@ -88,22 +88,24 @@
     }
 }
 
-/// Runs a command's work in a runtime of its own.
-pub(crate) fn block_on<T>(work: impl Future<Output = Result<T, CliError>>) -> Result<T, CliError> {
+/// Runs a future to completion on a new multi-threaded runtime.
+pub(crate) fn block_on<T>(
+    future: impl Future<Output = Result<T, CliError>>,
+) -> Result<T, CliError> {
     tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
         .map_err(CliError::Runtime)?
-        .block_on(work)
+        .block_on(future)
 }
 
-fn fail(format: OutputFormat, error: &CliError) -> ExitStatus {
+fn report_error(format: OutputFormat, error: &CliError) -> ExitStatus {
     format.print_error(error);
     error.exit_status()
 }
 
-/// Returns the format for errors of a command line that can't be parsed.
-fn wanted_format(arguments: &[String]) -> OutputFormat {
+/// Returns the format for errors of arguments that could not be parsed.
+fn requested_format(arguments: &[String]) -> OutputFormat {
     OutputFormat::from_flag(arguments.iter().any(|argument| argument == "--json"))
 }
 
--- a/src/cli/command/apply_command.rs
+++ b/src/cli/command/apply_command.rs
@@ -3,10 +3,11 @@
 use gumdrop::Options;
 use serde::Serialize;
 
-use super::check_command::read_manifest;
+use super::check_command::load_manifest;
 use crate::{
     cli::{
-        AddressList, CliError, GroupView, InForceReport, OperatorAccess, OutputFormat, UsageFault,
+        AddressList, CliError, GroupWatchers, InForceReport, OperatorAccess, OutputFormat,
+        UsageError,
     },
     clock::{ClockMillis, ProcessClock, SpanMillis},
     control::{
@@ -17,44 +18,42 @@
     program::ExitStatus,
 };
 
-/// The pause between two looks at the balancers.
+/// The interval between two queries of the balancers' progress.
 const POLL_MILLIS: SpanMillis = SpanMillis::new(100);
-/// Milliseconds in a second.
-const SECOND_MILLIS: u64 = 1_000;
+const MILLIS_PER_SECOND: u64 = 1_000;
 
 /// The options of `cyclamen apply`.
 #[derive(Debug, Options)]
 pub(crate) struct ApplyOptions {
-    /// Prints the help text.
     #[options(help = "print this text")]
     help: bool,
-    /// Writes the report as JSON.
+    /// Prints the report as JSON.
     #[options(no_short, help = "write the report as JSON")]
     pub(crate) json: bool,
-    /// The control replicas.
+    /// The call addresses of the control replicas.
     #[options(
         no_short,
         meta = "ADDR,...",
         help = "the call addresses of the control replicas"
     )]
     control: Option<AddressList>,
-    /// The deployment secret.
-    #[options(no_short, meta = "FILE", help = "the file of the deployment secret")]
+    /// The file with the deployment secret.
+    #[options(no_short, meta = "FILE", help = "the file with the deployment secret")]
     secret: Option<PathBuf>,
-    /// The operator's settings.
+    /// The operator's settings file.
     #[options(
         no_short,
         meta = "FILE",
         help = "read the operator's settings from FILE"
     )]
     settings: Option<PathBuf>,
-    /// Waits for the balancers.
+    /// Waits until the manifest is in force on every balancer.
     #[options(
         no_short,
         help = "wait until the manifest is in force on every balancer"
     )]
     wait: bool,
-    /// How long to wait.
+    /// The longest wait in seconds.
     #[options(no_short, meta = "N", default = "30", help = "wait N seconds at most")]
     timeout_seconds: u64,
     /// The manifest file.
@@ -62,7 +61,7 @@
     file: Option<PathBuf>,
 }
 
-/// What became of the manifest.
+/// The result of applying a manifest.
 #[derive(Debug, Serialize)]
 struct ApplyReport {
     accepted: ApplyReceipt,
@@ -71,18 +70,18 @@
 }
 
 impl ApplyOptions {
-    /// Hands the manifest over, and waits for the balancers if asked to.
+    /// Submits the manifest and, with `--wait`, waits for the balancers.
     pub(crate) async fn run(&self, settings: Option<PathBuf>) -> Result<ExitStatus, CliError> {
         let path = self
             .file
             .as_ref()
-            .ok_or(UsageFault::Missing { name: "FILE" })?;
+            .ok_or(UsageError::Missing { name: "FILE" })?;
         let settings = self.settings.clone().or(settings);
         let access = OperatorAccess::new(settings.as_deref())?
             .with_control(self.control.as_ref())
             .with_secret(self.secret.as_deref());
         let client = ControlClient::new(access.control()?.to_vec(), access.secret()?);
-        let manifest = read_manifest(path)?;
+        let manifest = load_manifest(path)?;
         let accepted = client.apply(&ApplyRequest { manifest }).await?;
         let report = self.report(&client, accepted).await;
         OutputFormat::from_flag(self.json).print(&report);
@@ -98,8 +97,8 @@
             };
         }
         let clock = ProcessClock::new();
-        let limit = SpanMillis::new(self.timeout_seconds.saturating_mul(SECOND_MILLIS));
-        let in_force = wait_in_force(client, accepted.revision, clock, limit).await;
+        let limit = SpanMillis::new(self.timeout_seconds.saturating_mul(MILLIS_PER_SECOND));
+        let in_force = wait_until_in_force(client, accepted.revision, clock, limit).await;
         ApplyReport {
             accepted,
             waited_millis: Some(clock.now().since(ClockMillis::ORIGIN).millis()),
@@ -108,8 +107,8 @@
     }
 }
 
-/// Asks for the balancers' progress until all have the revision, or `limit` passed.
-async fn wait_in_force(
+/// Polls the balancers until all have `revision` in force or `limit` has passed.
+async fn wait_until_in_force(
     client: &ControlClient,
     revision: FeedRevision,
     clock: ProcessClock,
@@ -117,8 +116,8 @@
 ) -> InForceReport {
     let end = clock.now().after(limit);
     loop {
-        let view = GroupView::ask(client).await;
-        let report = InForceReport::new(&view, revision);
+        let watchers = GroupWatchers::query(client).await;
+        let report = InForceReport::new(&watchers, revision);
         if report.everywhere || clock.now() >= end {
             return report;
         }
@@ -127,7 +126,7 @@
 }
 
 impl ApplyReport {
-    /// An accepted manifest that is not in force in time is a failure.
+    /// Fails when an accepted manifest is not in force everywhere in time.
     fn exit_status(&self) -> ExitStatus {
         match &self.in_force {
             Some(report) if !report.everywhere => ExitStatus::Failed,
--- a/src/cli/command/call_command.rs
+++ b/src/cli/command/call_command.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     caller::{CallAnswer, CallRequest, CallerError, ServiceCaller},
-    cli::{CliError, OutputFormat, UsageFault},
+    cli::{CliError, OutputFormat, UsageError},
     program::ExitStatus,
     tls::ServerTrust,
 };
@@ -13,43 +13,49 @@
 /// The options of `cyclamen call`.
 #[derive(Debug, Options)]
 pub(crate) struct CallOptions {
-    /// Prints the help text.
     #[options(help = "print this text")]
     help: bool,
-    /// Writes the report as JSON.
+    /// Prints the report as JSON.
     #[options(no_short, help = "write the report as JSON")]
     pub(crate) json: bool,
-    /// The service's address.
+    /// The service's address and port.
     #[options(no_short, meta = "IP:PORT", help = "the service's address")]
     service_address: Option<SocketAddrV4>,
-    /// The service's name.
+    /// The service's name, used for SNI and as the authority.
     #[options(no_short, meta = "SERVICE", help = "the service's name")]
     name: Option<String>,
-    /// The root certificates to trust.
-    #[options(no_short, meta = "FILE", help = "trust the roots in this PEM file")]
+    /// A PEM file with the trusted root certificates.
+    #[options(
+        no_short,
+        meta = "FILE",
+        help = "trust the root certificates in this PEM file"
+    )]
     ca: Option<PathBuf>,
-    /// The HTTP method.
     #[options(no_short, meta = "METHOD", default = "GET", help = "the HTTP method")]
     method: String,
-    /// The path.
+    /// The path and query.
     #[options(no_short, meta = "PATH", default = "/", help = "the path and query")]
     path: String,
-    /// The body.
-    #[options(no_short, meta = "TEXT", help = "the body, or @FILE")]
+    /// The body, or `@FILE` to read it from a file.
+    #[options(
+        no_short,
+        meta = "TEXT",
+        help = "the body, or @FILE to read it from FILE"
+    )]
     data: Option<String>,
-    /// The ticket.
+    /// The ticket that is sent as `Idempotency-Key`.
     #[options(
         no_short,
         meta = "TICKET",
         help = "send this ticket as Idempotency-Key"
     )]
     ticket: Option<String>,
-    /// The time to wait.
+    /// The timeout in seconds.
     #[options(no_short, meta = "N", default = "30", help = "give up after N seconds")]
     timeout_seconds: u64,
 }
 
-/// The answer of a service.
+/// The response of a service.
 #[derive(Debug, Serialize)]
 struct CallReport {
     status: u16,
@@ -58,18 +64,18 @@
 }
 
 impl CallOptions {
-    /// Sends the request and reports the answer.
+    /// Sends the request and prints the response.
     pub(crate) async fn run(&self) -> Result<ExitStatus, CliError> {
         let request = self.request()?;
-        let work = self.send(request);
-        let answer = tokio::time::timeout(Duration::from_secs(self.timeout_seconds), work)
+        let response = self.send(request);
+        let response = tokio::time::timeout(Duration::from_secs(self.timeout_seconds), response)
             .await
             .map_err(|_| CliError::TimedOut {
                 seconds: self.timeout_seconds,
             })??;
-        let report = CallReport::new(&answer);
+        let report = CallReport::new(&response);
         OutputFormat::from_flag(self.json).print(&report);
-        Ok(if answer.is_success() {
+        Ok(if response.is_success() {
             ExitStatus::Done
         } else {
             ExitStatus::Failed
@@ -77,17 +83,17 @@
     }
 
     async fn send(&self, request: CallRequest) -> Result<CallAnswer, CliError> {
-        let address = self.service_address.ok_or(UsageFault::Missing {
+        let address = self.service_address.ok_or(UsageError::Missing {
             name: "--service-address",
         })?;
         let name = self.name.as_deref();
-        let name = name.ok_or(UsageFault::Missing { name: "--name" })?;
+        let name = name.ok_or(UsageError::Missing { name: "--name" })?;
         let ca = self.ca.as_ref();
-        let ca = ca.ok_or(UsageFault::Missing { name: "--ca" })?;
+        let ca = ca.ok_or(UsageError::Missing { name: "--ca" })?;
         let caller = ServiceCaller::connect(address, name, ServerTrust::load(ca)?).await?;
-        let answer: Result<CallAnswer, CallerError> = caller.send(request).await;
+        let response: Result<CallAnswer, CallerError> = caller.send(request).await;
         caller.close().await;
-        Ok(answer?)
+        Ok(response?)
     }
 
     fn request(&self) -> Result<CallRequest, CliError> {
@@ -96,14 +102,14 @@
             request = request.with_ticket(ticket);
         }
         if let Some(data) = &self.data {
-            request = request.with_body(read_data(data)?);
+            request = request.with_body(load_body(data)?);
         }
         Ok(request)
     }
 }
 
-/// Returns the text itself, or the content of the file that follows an `@`.
-fn read_data(data: &str) -> Result<Vec<u8>, CliError> {
+/// Returns the bytes of `data`, or for `@FILE` the content of that file.
+fn load_body(data: &str) -> Result<Vec<u8>, CliError> {
     match data.strip_prefix('@') {
         Some(path) => fs::read(path).map_err(|cause| CliError::Unreadable {
             path: path.into(),
@@ -114,8 +120,8 @@
 }
 
 impl CallReport {
-    fn new(answer: &CallAnswer) -> Self {
-        let headers = answer
+    fn new(response: &CallAnswer) -> Self {
+        let headers = response
             .headers
             .iter()
             .map(|(name, value)| {
@@ -124,9 +130,9 @@
             })
             .collect();
         Self {
-            status: answer.status,
+            status: response.status,
             headers,
-            body: String::from_utf8_lossy(&answer.body).into_owned(),
+            body: String::from_utf8_lossy(&response.body).into_owned(),
         }
     }
 }
--- a/src/cli/command/certificate_command.rs
+++ b/src/cli/command/certificate_command.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use crate::{
-    cli::{CliError, OutputFormat, UsageFault},
+    cli::{CliError, OutputFormat, UsageError},
     program::ExitStatus,
     tls::TestCertificate,
 };
@@ -12,21 +12,24 @@
 /// The options of `cyclamen tls-test-certificate`.
 #[derive(Debug, Options)]
 pub(crate) struct CertificateOptions {
-    /// Prints the help text.
     #[options(help = "print this text")]
     help: bool,
-    /// Writes the report as JSON.
+    /// Prints the report as JSON.
     #[options(no_short, help = "write the report as JSON")]
     pub(crate) json: bool,
-    /// The folder that gets the files.
-    #[options(no_short, meta = "FOLDER", help = "the folder that gets the files")]
+    /// The folder where the files are written.
+    #[options(
+        no_short,
+        meta = "FOLDER",
+        help = "the folder where the files are written"
+    )]
     folder: Option<PathBuf>,
-    /// The names that the certificate is for.
-    #[options(free, help = "the names that the certificate is for")]
+    /// The DNS names in the certificate.
+    #[options(free, help = "the DNS names in the certificate")]
     names: Vec<String>,
 }
 
-/// The files that were written.
+/// The files that were written and the certificate's names.
 #[derive(Debug, Serialize)]
 struct CertificateReport {
     certificate: PathBuf,
@@ -36,14 +39,14 @@
 }
 
 impl CertificateOptions {
-    /// Writes a certificate, its key, and the root that signed it.
+    /// Writes a certificate, its key and the root certificate that signed it.
     pub(crate) fn run(&self) -> Result<ExitStatus, CliError> {
         let folder = self
             .folder
             .as_ref()
-            .ok_or(UsageFault::Missing { name: "--folder" })?;
+            .ok_or(UsageError::Missing { name: "--folder" })?;
         if self.names.is_empty() {
-            return Err(UsageFault::Missing { name: "NAME" }.into());
+            return Err(UsageError::Missing { name: "NAME" }.into());
         }
         let names: Vec<&str> = self.names.iter().map(String::as_str).collect();
         fs::create_dir_all(folder).map_err(|cause| CliError::Unwritable {
--- a/src/cli/command/check_command.rs
+++ b/src/cli/command/check_command.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use crate::{
-    cli::{CliError, OutputFormat, UsageFault},
+    cli::{CliError, OutputFormat, UsageError},
     manifest::{Manifest, ManifestDigest, ManifestError, ManifestText},
     program::ExitStatus,
 };
@@ -16,10 +16,9 @@
 /// The options of `cyclamen check`.
 #[derive(Debug, Options)]
 pub(crate) struct CheckOptions {
-    /// Prints the help text.
     #[options(help = "print this text")]
     help: bool,
-    /// Writes the report as JSON.
+    /// Prints the report as JSON.
     #[options(no_short, help = "write the report as JSON")]
     pub(crate) json: bool,
     /// The manifest file.
@@ -27,7 +26,7 @@
     file: Option<PathBuf>,
 }
 
-/// What `cyclamen check` found.
+/// The result of validating a manifest.
 #[derive(Debug, Serialize)]
 struct CheckReport {
     file: PathBuf,
@@ -36,12 +35,12 @@
     services: Option<usize>,
     digest: Option<ManifestDigest>,
     shared_ports: BTreeMap<u16, Vec<String>>,
-    faults: Vec<FaultLine>,
+    faults: Vec<FaultEntry>,
 }
 
-/// One broken rule.
+/// One fault of the manifest, with line and column if the JSON could not be parsed.
 #[derive(Debug, Serialize)]
-struct FaultLine {
+struct FaultEntry {
     place: String,
     line: Option<usize>,
     column: Option<usize>,
@@ -49,13 +48,13 @@
 }
 
 impl CheckOptions {
-    /// Checks the manifest without any network.
+    /// Validates the manifest without any network access.
     pub(crate) fn run(&self) -> Result<ExitStatus, CliError> {
         let path = self
             .file
             .as_ref()
-            .ok_or(UsageFault::Missing { name: "FILE" })?;
-        let report = match read_manifest(path) {
+            .ok_or(UsageError::Missing { name: "FILE" })?;
+        let report = match load_manifest(path) {
             Ok(manifest) => CheckReport::valid(path, &manifest),
             Err(CliError::Manifest { cause, .. }) => CheckReport::invalid(path, cause)?,
             Err(error) => return Err(error),
@@ -70,8 +69,8 @@
     }
 }
 
-/// Reads and checks the manifest in the file at `path`.
-pub(super) fn read_manifest(path: &Path) -> Result<Manifest, CliError> {
+/// Loads and validates the manifest file at `path`.
+pub(super) fn load_manifest(path: &Path) -> Result<Manifest, CliError> {
     ManifestText::load(path)
         .and_then(|text| text.parse())
         .map_err(|cause| CliError::Manifest {
@@ -98,12 +97,12 @@
         }
     }
 
-    /// Lists the faults of a document; other errors are handed back.
+    /// Reports the faults in the document; fails when it could not be read.
     fn invalid(path: &Path, error: ManifestError) -> Result<Self, CliError> {
         let faults = match error {
             ManifestError::Invalid { faults } => faults
                 .into_iter()
-                .map(|fault| FaultLine {
+                .map(|fault| FaultEntry {
                     place: fault.place,
                     line: None,
                     column: None,
@@ -115,7 +114,7 @@
                 line,
                 column,
                 message,
-            } => vec![FaultLine {
+            } => vec![FaultEntry {
                 place,
                 line: Some(line),
                 column: Some(column),
--- a/src/cli/command/demo_command.rs
+++ b/src/cli/command/demo_command.rs
@@ -1,7 +1,7 @@
 use gumdrop::Options;
 
 use crate::{
-    cli::{CliError, OutputFormat, UsageFault, block_on},
+    cli::{CliError, OutputFormat, UsageError, block_on},
     demo::{LEAST_DEMO_SECONDS, run_demo},
     program::ExitStatus,
 };
@@ -9,32 +9,31 @@
 /// The options of `cyclamen demo`.
 #[derive(Debug, Options)]
 pub(crate) struct DemoOptions {
-    /// Prints the help text.
     #[options(help = "print this text")]
     help: bool,
-    /// Writes the report as JSON.
+    /// Prints the report as JSON.
     #[options(no_short, help = "write the report as JSON")]
     pub(crate) json: bool,
-    /// How long traffic runs.
+    /// The duration of the traffic in seconds.
     #[options(
         no_short,
         meta = "N",
         default = "12",
-        help = "keep traffic going for N seconds"
+        help = "send traffic for N seconds"
     )]
     seconds: u64,
 }
 
 impl DemoOptions {
-    /// Runs a whole site in this process; it fails when a promise broke.
+    /// Runs a complete site in this process; fails when a guarantee was violated.
     pub(crate) fn run(&self) -> Result<ExitStatus, CliError> {
         if self.seconds < LEAST_DEMO_SECONDS {
-            let fault = UsageFault::BadValue {
+            let error = UsageError::BadValue {
                 name: "--seconds",
                 value: self.seconds.to_string(),
-                allowed: "6 or more, so that every step has its time",
+                allowed: "6 or more, so that every step has enough time",
             };
-            return Err(fault.into());
+            return Err(error.into());
         }
         let folder = tempfile::tempdir().map_err(CliError::TemporaryFolder)?;
         let progress = |line: &str| eprintln!("demo: {line}");
--- a/src/cli/command/drain_command.rs
+++ b/src/cli/command/drain_command.rs
@@ -6,15 +6,14 @@
 use crate::{
     admin::{AdminClient, DrainRequest},
     agent::drain::{DrainReport, DrainStage},
-    cli::{CliError, OperatorAccess, OutputFormat, UsageFault, parse_address},
+    cli::{CliError, OperatorAccess, OutputFormat, UsageError, parse_address},
     clock::SpanMillis,
     program::ExitStatus,
 };
 
-/// The pause between two looks at a drain.
+/// The interval between two queries of a drain's progress.
 const POLL_MILLIS: SpanMillis = SpanMillis::new(500);
-/// Milliseconds in a second.
-const SECOND_MILLIS: u64 = 1_000;
+const MILLIS_PER_SECOND: u64 = 1_000;
 
 /// The options of `cyclamen drain`.
 #[allow(
@@ -23,75 +22,74 @@
 )]
 #[derive(Debug, Options)]
 pub(crate) struct DrainOptions {
-    /// Prints the help text.
     #[options(help = "print this text")]
     help: bool,
-    /// Writes the report as JSON.
+    /// Prints the report as JSON.
     #[options(no_short, help = "write the report as JSON")]
     pub(crate) json: bool,
-    /// Takes the drain back.
-    #[options(no_short, help = "take the drain back")]
+    /// Cancels the drain.
+    #[options(no_short, help = "cancel the drain")]
     cancel: bool,
-    /// Only asks.
-    #[options(no_short, help = "only tell how far the drain has come")]
+    /// Reports the drain's progress without starting one.
+    #[options(no_short, help = "only report the progress of the drain")]
     status: bool,
-    /// When to cut what still runs.
+    /// Seconds after which open requests and streams are cut.
     #[options(
         no_short,
         meta = "N",
-        help = "cut what still runs after N seconds; without it nothing is cut"
+        help = "cut requests and streams that are still open after N seconds; by default none are cut"
     )]
     deadline_seconds: Option<u64>,
-    /// Waits for the end of the drain.
-    #[options(no_short, help = "wait until nothing is open any more")]
+    /// Waits until the drain has finished.
+    #[options(no_short, help = "wait until no request or stream is open")]
     wait: bool,
-    /// The deployment secret.
-    #[options(no_short, meta = "FILE", help = "the file of the deployment secret")]
+    /// The file with the deployment secret.
+    #[options(no_short, meta = "FILE", help = "the file with the deployment secret")]
     secret: Option<PathBuf>,
-    /// The operator's settings.
+    /// The operator's settings file.
     #[options(
         no_short,
         meta = "FILE",
         help = "read the operator's settings from FILE"
     )]
     settings: Option<PathBuf>,
-    /// The address of the agent.
+    /// The admin address of the agent.
     #[options(free, help = "the admin address of the agent")]
     address: Option<String>,
 }
 
-/// What the agent answered.
+/// The state of an agent's drain.
 #[derive(Debug, Serialize)]
-struct DrainView {
+struct AgentDrainReport {
     agent: String,
     #[serde(flatten)]
     report: DrainReport,
 }
 
 impl DrainOptions {
-    /// Starts, cancels or looks at the drain of one agent.
+    /// Starts, cancels or queries the drain of one agent.
     pub(crate) async fn run(&self, settings: Option<PathBuf>) -> Result<ExitStatus, CliError> {
-        self.check()?;
+        self.check_exclusive_flags()?;
         let address = self.address.as_deref();
-        let address = address.ok_or(UsageFault::Missing { name: "ADDR" })?;
+        let address = address.ok_or(UsageError::Missing { name: "ADDR" })?;
         let address = parse_address("ADDR", address)?;
         let settings = self.settings.clone().or(settings);
         let access = OperatorAccess::new(settings.as_deref())?.with_secret(self.secret.as_deref());
         let client = AdminClient::new(address, access.secret()?)?;
-        let mut report = self.order(&client).await?;
+        let mut report = self.send_command(&client).await?;
         while self.wait && matches!(report.stage, DrainStage::Leaving { .. }) {
             tokio::time::sleep(POLL_MILLIS.duration()).await;
             report = client.drain_status().await?;
         }
-        let view = DrainView {
+        let report = AgentDrainReport {
             agent: address.to_string(),
             report,
         };
-        OutputFormat::from_flag(self.json).print(&view);
+        OutputFormat::from_flag(self.json).print(&report);
         Ok(ExitStatus::Done)
     }
 
-    async fn order(&self, client: &AdminClient) -> Result<DrainReport, CliError> {
+    async fn send_command(&self, client: &AdminClient) -> Result<DrainReport, CliError> {
         let report = if self.status {
             client.drain_status().await
         } else if self.cancel {
@@ -99,16 +97,16 @@
         } else {
             let seconds = self.deadline_seconds;
             let deadline =
-                seconds.map(|seconds| SpanMillis::new(seconds.saturating_mul(SECOND_MILLIS)));
+                seconds.map(|seconds| SpanMillis::new(seconds.saturating_mul(MILLIS_PER_SECOND)));
             client.drain(DrainRequest { deadline }).await
         };
         Ok(report?)
     }
 
-    fn check(&self) -> Result<(), UsageFault> {
-        let kinds = [self.cancel, self.status, self.deadline_seconds.is_some()];
-        if kinds.iter().filter(|kind| **kind).count() > 1 {
-            return Err(UsageFault::BadValue {
+    fn check_exclusive_flags(&self) -> Result<(), UsageError> {
+        let flags = [self.cancel, self.status, self.deadline_seconds.is_some()];
+        if flags.iter().filter(|flag| **flag).count() > 1 {
+            return Err(UsageError::BadValue {
                 name: "the command line",
                 value: "several of --cancel, --status and --deadline-seconds".to_owned(),
                 allowed: "one of them",
@@ -118,7 +116,7 @@
     }
 }
 
-impl fmt::Display for DrainView {
+impl fmt::Display for AgentDrainReport {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let DrainReport {
             stage,
@@ -140,14 +138,14 @@
                 write!(formatter, "{}: drained, open work was cut", self.agent)?;
             }
         }
-        let told = if announced {
+        let announcement = if announced {
             "knows"
         } else {
             "was not told yet"
         };
         write!(
             formatter,
-            "\ncontrol {told}; open: {} running, {} waiting, {} streams, {} relayed",
+            "\ncontrol {announcement}; open: {} running, {} waiting, {} streams, {} relayed",
             open.running, open.waiting, open.streams, open.relayed
         )
     }
--- a/src/cli/command/dump_command.rs
+++ b/src/cli/command/dump_command.rs
@@ -6,44 +6,43 @@
 
 use crate::{
     admin::AdminClient,
-    cli::{CliError, OperatorAccess, OutputFormat, UsageFault, parse_address},
+    cli::{CliError, OperatorAccess, OutputFormat, UsageError, parse_address},
     program::ExitStatus,
 };
 
 /// The options of `cyclamen dump`.
 #[derive(Debug, Options)]
 pub(crate) struct DumpOptions {
-    /// Prints the help text.
     #[options(help = "print this text")]
     help: bool,
-    /// Writes the report as JSON.
+    /// Has no effect: a dump is always JSON.
     #[options(no_short, help = "accepted for scripts; a dump is always JSON")]
     pub(crate) json: bool,
-    /// The deployment secret.
-    #[options(no_short, meta = "FILE", help = "the file of the deployment secret")]
+    /// The file with the deployment secret.
+    #[options(no_short, meta = "FILE", help = "the file with the deployment secret")]
     secret: Option<PathBuf>,
-    /// The operator's settings.
+    /// The operator's settings file.
     #[options(
         no_short,
         meta = "FILE",
         help = "read the operator's settings from FILE"
     )]
     settings: Option<PathBuf>,
-    /// The address of the process.
+    /// The admin address of the process.
     #[options(free, help = "the admin address of the process")]
     address: Option<String>,
 }
 
-/// The state of a process, as it handed it over.
+/// The state of a process as it returned it.
 #[derive(Debug, Serialize)]
 #[serde(transparent)]
 struct DumpReport(Value);
 
 impl DumpOptions {
-    /// Prints the whole state of one process.
+    /// Prints the full state of one process.
     pub(crate) async fn run(&self, settings: Option<PathBuf>) -> Result<ExitStatus, CliError> {
         let address = self.address.as_deref();
-        let address = address.ok_or(UsageFault::Missing { name: "ADDR" })?;
+        let address = address.ok_or(UsageError::Missing { name: "ADDR" })?;
         let address = parse_address("ADDR", address)?;
         let settings = self.settings.clone().or(settings);
         let access = OperatorAccess::new(settings.as_deref())?.with_secret(self.secret.as_deref());
--- a/src/cli/command/inspect_command.rs
+++ b/src/cli/command/inspect_command.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 
 use crate::{
-    cli::{CliError, OutputFormat, UsageFault, parse_address},
+    cli::{CliError, OutputFormat, UsageError, parse_address},
     fleet::{InspectQuestion, inspect_process},
     flow::FlowKey,
     program::ExitStatus,
@@ -14,10 +14,9 @@
 /// The options of `cyclamen inspect`.
 #[derive(Debug, Options)]
 pub(crate) struct InspectOptions {
-    /// Prints the help text.
     #[options(help = "print this text")]
     help: bool,
-    /// Writes the report as JSON.
+    /// Prints the report as JSON.
     #[options(no_short, help = "write the report on one line")]
     pub(crate) json: bool,
     /// The caller's address and port of the flow to look up.
@@ -34,21 +33,21 @@
         help = "the address and port that the flow was opened to"
     )]
     listener: Option<String>,
-    /// The address of the process.
+    /// The inspection address of the process.
     #[options(free, help = "the inspection address of an entry VM or an agent")]
     address: Option<String>,
 }
 
-/// What the process answered.
+/// The state or flow that the process returned.
 #[derive(Debug, Serialize)]
 #[serde(transparent)]
 struct InspectReport(Value);
 
 impl InspectOptions {
-    /// Prints the state of a process, or what it knows of a flow.
+    /// Prints the state of a process, or its record of one flow.
     pub(crate) async fn run(&self) -> Result<ExitStatus, CliError> {
         let address = self.address.as_deref();
-        let address = address.ok_or(UsageFault::Missing { name: "ADDR" })?;
+        let address = address.ok_or(UsageError::Missing { name: "ADDR" })?;
         let address = parse_address("ADDR", address)?;
         let question = self.question()?;
         let reply = inspect_process(address, question)
@@ -65,8 +64,8 @@
                 caller: parse_address("--caller", caller)?,
                 listener: parse_address("--listener", listener)?,
             })),
-            (Some(_), None) => Err(UsageFault::Missing { name: "--listener" }.into()),
-            (None, Some(_)) => Err(UsageFault::Missing { name: "--caller" }.into()),
+            (Some(_), None) => Err(UsageError::Missing { name: "--listener" }.into()),
+            (None, Some(_)) => Err(UsageError::Missing { name: "--caller" }.into()),
         }
     }
 }
--- a/src/cli/command/mod.rs
+++ b/src/cli/command/mod.rs
@@ -1,4 +1,4 @@
-//! One file a command: its options, what it does, what it reports.
+//! The subcommands, one file each: options, execution and report.
 
 mod apply_command;
 mod call_command;
--- a/src/cli/command/secret_command.rs
+++ b/src/cli/command/secret_command.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use crate::{
-    cli::{CliError, OutputFormat, UsageFault},
+    cli::{CliError, OutputFormat, UsageError},
     program::ExitStatus,
     secret::DeploymentSecret,
     settings::write_private,
@@ -20,44 +20,45 @@
 /// The options of `cyclamen secret`.
 #[derive(Debug, Options)]
 pub(crate) struct SecretOptions {
-    /// Prints the help text.
     #[options(help = "print this text")]
     help: bool,
-    /// Writes the report as JSON.
+    /// Prints the report as JSON.
     #[options(no_short, help = "write the report as JSON")]
     pub(crate) json: bool,
-    /// The step of a rotation.
+    /// The rotation step to take.
     #[options(
         no_short,
         meta = "STEP",
         help = "the step of `rotate`: add, activate or retire"
     )]
     step: Option<RotationStep>,
-    /// What to do, and the file.
+    /// The action, `new` or `rotate`, and the secret file.
     #[options(free, help = "new FILE, or rotate FILE --step STEP")]
     arguments: Vec<String>,
 }
 
-/// One step of a rotation; every process gets the file between two steps.
+/// One step of a rotation.
+///
+/// The file must reach every process before the next step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RotationStep {
-    /// Adds the next epoch, which is accepted and not yet used.
+    /// Adds the next epoch, which is accepted but not used yet.
     Add,
-    /// Uses the added epoch; the old one is still accepted.
+    /// Makes the added epoch active; the old one is still accepted.
     Activate,
-    /// Takes the old epoch out.
+    /// Removes the old epoch.
     Retire,
 }
 
 impl FromStr for RotationStep {
-    type Err = UsageFault;
+    type Err = UsageError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         match text {
             "add" => Ok(Self::Add),
             "activate" => Ok(Self::Activate),
             "retire" => Ok(Self::Retire),
-            _ => Err(UsageFault::BadValue {
+            _ => Err(UsageError::BadValue {
                 name: "--step",
                 value: text.to_owned(),
                 allowed: "add, activate or retire",
@@ -66,7 +67,7 @@
     }
 }
 
-/// What is now in the secret file; never the secret itself.
+/// The epochs in the secret file; never contains the secret itself.
 #[derive(Debug, Serialize)]
 struct SecretReport {
     file: PathBuf,
@@ -75,12 +76,12 @@
 }
 
 impl SecretOptions {
-    /// Makes a secret file or takes it one step through a rotation.
+    /// Creates a secret file or applies one rotation step to it.
     pub(crate) fn run(&self) -> Result<ExitStatus, CliError> {
         let (action, path) = self.action()?;
         let secret = match action {
             SecretAction::New => {
-                refuse_existing(&path)?;
+                ensure_absent(&path)?;
                 DeploymentSecret::random(FIRST_EPOCH)
             }
             SecretAction::Rotate(step) => rotate(DeploymentSecret::load(&path)?, step)?,
@@ -99,18 +100,18 @@
         Ok(ExitStatus::Done)
     }
 
-    fn action(&self) -> Result<(SecretAction, PathBuf), UsageFault> {
+    fn action(&self) -> Result<(SecretAction, PathBuf), UsageError> {
         let [action, path] = self.arguments.as_slice() else {
-            return Err(UsageFault::Missing {
+            return Err(UsageError::Missing {
                 name: "`new FILE` or `rotate FILE`",
             });
         };
         let action = match (action.as_str(), self.step) {
             ("new", None) => SecretAction::New,
             ("rotate", Some(step)) => SecretAction::Rotate(step),
-            ("rotate", None) => return Err(UsageFault::Missing { name: "--step" }),
+            ("rotate", None) => return Err(UsageError::Missing { name: "--step" }),
             _ => {
-                return Err(UsageFault::BadValue {
+                return Err(UsageError::BadValue {
                     name: "the action",
                     value: action.clone(),
                     allowed: "`new` without --step, or `rotate` with it",
@@ -121,15 +122,17 @@
     }
 }
 
-/// What the operator asked for.
+/// The action on the secret file.
 #[derive(Debug, Clone, Copy)]
 enum SecretAction {
     New,
     Rotate(RotationStep),
 }
 
-/// A secret in use is never overwritten: every process would lose the others.
-fn refuse_existing(path: &Path) -> Result<(), CliError> {
+/// Fails when the file exists.
+///
+/// Overwriting a secret in use would lock every process out from the others.
+fn ensure_absent(path: &Path) -> Result<(), CliError> {
     if path.exists() {
         return Err(CliError::Unwritable {
             path: path.to_owned(),
--- a/src/cli/command/status_command.rs
+++ b/src/cli/command/status_command.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use crate::{
-    cli::{AddressList, CliError, GroupView, InForceReport, OperatorAccess, OutputFormat},
+    cli::{AddressList, CliError, GroupWatchers, InForceReport, OperatorAccess, OutputFormat},
     control::{api::ControlStatus, client::ControlClient},
     program::ExitStatus,
 };
@@ -12,23 +12,22 @@
 /// The options of `cyclamen status`.
 #[derive(Debug, Options)]
 pub(crate) struct StatusOptions {
-    /// Prints the help text.
     #[options(help = "print this text")]
     help: bool,
-    /// Writes the report as JSON.
+    /// Prints the report as JSON.
     #[options(no_short, help = "write the report as JSON")]
     pub(crate) json: bool,
-    /// The control replicas.
+    /// The call addresses of the control replicas.
     #[options(
         no_short,
         meta = "ADDR,...",
         help = "the call addresses of the control replicas"
     )]
     control: Option<AddressList>,
-    /// The deployment secret.
-    #[options(no_short, meta = "FILE", help = "the file of the deployment secret")]
+    /// The file with the deployment secret.
+    #[options(no_short, meta = "FILE", help = "the file with the deployment secret")]
     secret: Option<PathBuf>,
-    /// The operator's settings.
+    /// The operator's settings file.
     #[options(
         no_short,
         meta = "FILE",
@@ -37,7 +36,7 @@
     settings: Option<PathBuf>,
 }
 
-/// What the control group and its watchers do.
+/// The state of the control group and the rollout of its manifest.
 #[derive(Debug, Serialize)]
 struct StatusReport {
     status: ControlStatus,
@@ -45,7 +44,7 @@
 }
 
 impl StatusOptions {
-    /// Prints how the group does and where the manifest is in force.
+    /// Prints the state of the group and where the manifest is in force.
     pub(crate) async fn run(&self, settings: Option<PathBuf>) -> Result<ExitStatus, CliError> {
         let settings = self.settings.clone().or(settings);
         let access = OperatorAccess::new(settings.as_deref())?
@@ -53,9 +52,9 @@
             .with_secret(self.secret.as_deref());
         let client = ControlClient::new(access.control()?.to_vec(), access.secret()?);
         let status = client.status().await?;
-        let view = GroupView::ask(&client).await;
+        let watchers = GroupWatchers::query(&client).await;
         let report = StatusReport {
-            manifest_in_force: InForceReport::new(&view, status.manifest_revision),
+            manifest_in_force: InForceReport::new(&watchers, status.manifest_revision),
             status,
         };
         OutputFormat::from_flag(self.json).print(&report);
--- a/src/cli/in_force_report.rs
+++ b/src/cli/in_force_report.rs
@@ -2,64 +2,67 @@
 
 use serde::Serialize;
 
-use super::GroupView;
+use super::GroupWatchers;
 use crate::{
     control::api::{WatcherName, WatcherStatus},
     key::FeedRevision,
 };
 
-/// On which balancers a revision is in force, and which of them lag.
+/// Which balancers have a revision in force and which ones lag behind it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub(crate) struct InForceReport {
-    /// The revision that is waited for.
+    /// The revision that is looked for.
     pub(crate) revision: FeedRevision,
-    /// Whether every known balancer has it, and there is at least one.
+    /// Whether there is at least one balancer and all known ones have it in force.
     pub(crate) everywhere: bool,
-    /// The balancers that have it.
+    /// The balancers that have the revision in force.
     pub(crate) in_force: Vec<BalancerProgress>,
-    /// The balancers that don't have it yet.
+    /// The balancers that don't have it in force yet.
     pub(crate) lagging: Vec<BalancerProgress>,
-    /// Watchers that are not listed since they are further on than those.
+    /// The number of watchers left out of the replicas' lists; none lags further
+    /// behind than the listed ones.
     pub(crate) unlisted: usize,
     /// The replicas that did not answer; their watchers are not counted.
     pub(crate) silent_replicas: Vec<SocketAddrV4>,
 }
 
-/// How far one balancer has come.
+/// The progress of one balancer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub(crate) struct BalancerProgress {
     /// The balancer's name from its settings.
     pub(crate) name: String,
-    /// Where it runs.
+    /// The failure domain it runs in.
     pub(crate) domain: String,
-    /// The revision that it reported.
+    /// The revision that it reported as in force.
     pub(crate) revision: FeedRevision,
-    /// The milliseconds since it was last heard.
+    /// The time since its last report in milliseconds.
     pub(crate) silent_millis: u64,
 }
 
 impl InForceReport {
-    /// Sorts the balancers by whether `revision` is in force there.
-    pub(crate) fn new(view: &GroupView, revision: FeedRevision) -> Self {
-        let balancers = view.watchers().filter_map(BalancerProgress::new);
+    /// Splits the balancers by whether they have `revision` in force.
+    pub(crate) fn new(watchers: &GroupWatchers, revision: FeedRevision) -> Self {
+        let balancers = watchers.watchers().filter_map(BalancerProgress::new);
         let (in_force, lagging): (Vec<_>, Vec<_>) =
             balancers.partition(|balancer| balancer.revision >= revision);
-        // Watchers that are not listed are at least as far as all that are.
-        let is_complete =
-            view.hidden() == 0 || view.watchers().all(|watcher| watcher.in_force >= revision);
+        // An unlisted watcher is at least as far ahead as every listed one.
+        let is_complete = watchers.unlisted() == 0
+            || watchers
+                .watchers()
+                .all(|watcher| watcher.in_force >= revision);
         Self {
             revision,
             everywhere: lagging.is_empty() && !in_force.is_empty() && is_complete,
             in_force,
             lagging,
-            unlisted: view.hidden(),
-            silent_replicas: view.silent().to_vec(),
+            unlisted: watchers.unlisted(),
+            silent_replicas: watchers.silent_replicas().to_vec(),
         }
     }
 }
 
 impl BalancerProgress {
-    /// Returns the progress of a balancer; none for other watchers.
+    /// Returns the progress of a balancer, or `None` for other watchers.
     fn new(watcher: &WatcherStatus) -> Option<Self> {
         match &watcher.name {
             WatcherName::Balancer(name) => Some(Self {
@@ -102,7 +105,7 @@
         if self.unlisted > 0 {
             writeln!(
                 formatter,
-                "  {} more watchers are further on",
+                "  {} more watchers are not listed; none lags further behind",
                 self.unlisted
             )?;
         }
--- a/src/cli/operator_access.rs
+++ b/src/cli/operator_access.rs
@@ -4,13 +4,15 @@
     str::FromStr,
 };
 
-use super::{CliError, OperatorSettings, UsageFault};
+use super::{CliError, OperatorSettings, UsageError};
 use crate::{
     secret::{DeploymentSecret, SecretStore},
     settings::load_settings,
 };
 
-/// How a command reaches the deployment: options first, then the settings.
+/// The control addresses and secret file that a command uses.
+///
+/// Command-line options override the operator's settings.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct OperatorAccess {
     control: Vec<SocketAddrV4>,
@@ -18,7 +20,7 @@
 }
 
 impl OperatorAccess {
-    /// Reads the settings file, if one is named.
+    /// Loads the settings file, if one is given.
     pub(crate) fn new(settings: Option<&Path>) -> Result<Self, CliError> {
         let settings: OperatorSettings = match settings {
             Some(path) => load_settings(path)?,
@@ -30,7 +32,7 @@
         })
     }
 
-    /// Lets an option go before the settings.
+    /// Overrides the secret file of the settings, if an option gives one.
     pub(crate) fn with_secret(mut self, secret: Option<&Path>) -> Self {
         if let Some(path) = secret {
             self.secret = Some(path.to_owned());
@@ -38,7 +40,7 @@
         self
     }
 
-    /// Lets an option go before the settings.
+    /// Overrides the control addresses of the settings, if an option gives some.
     pub(crate) fn with_control(mut self, control: Option<&AddressList>) -> Self {
         if let Some(list) = control {
             self.control.clone_from(&list.0);
@@ -46,19 +48,19 @@
         self
     }
 
-    /// Returns the control replicas' addresses, at least one.
-    pub(crate) fn control(&self) -> Result<&[SocketAddrV4], UsageFault> {
+    /// Returns the call addresses of the control replicas; fails when there are none.
+    pub(crate) fn control(&self) -> Result<&[SocketAddrV4], UsageError> {
         if self.control.is_empty() {
-            return Err(UsageFault::Missing {
+            return Err(UsageError::Missing {
                 name: "--control ADDR,... or `control` in --settings",
             });
         }
         Ok(&self.control)
     }
 
-    /// Returns the keys of the deployment secret.
+    /// Loads the deployment secret; fails when no file is given or it is invalid.
     pub(crate) fn secret(&self) -> Result<SecretStore, CliError> {
-        let path = self.secret.as_ref().ok_or(UsageFault::Missing {
+        let path = self.secret.as_ref().ok_or(UsageError::Missing {
             name: "--secret FILE or `secret` in --settings",
         })?;
         let secret = DeploymentSecret::load(path)?;
@@ -66,12 +68,12 @@
     }
 }
 
-/// Addresses that are separated by commas on a command line.
+/// A comma-separated list of addresses from the option `--control`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct AddressList(Vec<SocketAddrV4>);
 
 impl FromStr for AddressList {
-    type Err = UsageFault;
+    type Err = UsageError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         text.split(',')
@@ -81,9 +83,9 @@
     }
 }
 
-/// Reads an address with a port; `name` is the argument's name for the error.
-pub(crate) fn parse_address(name: &'static str, text: &str) -> Result<SocketAddrV4, UsageFault> {
-    text.parse().map_err(|_| UsageFault::BadValue {
+/// Parses an IPv4 address with a port; `name` is the argument named in the error.
+pub(crate) fn parse_address(name: &'static str, text: &str) -> Result<SocketAddrV4, UsageError> {
+    text.parse().map_err(|_| UsageError::BadValue {
         name,
         value: text.to_owned(),
         allowed: "an IPv4 address and port, such as 192.0.2.1:7100",
--- a/src/cli/operator_settings.rs
+++ b/src/cli/operator_settings.rs
@@ -7,14 +7,14 @@
 
 use crate::settings::{SettingsCheck, SettingsError};
 
-/// The settings of `cyclamen`, so that they need not be typed each time.
+/// The settings of `cyclamen`: defaults for options of its commands.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorSettings {
     /// The call addresses of the control replicas.
     #[serde(default)]
     pub control: Vec<SocketAddrV4>,
-    /// The file of the deployment secret.
+    /// The file with the deployment secret.
     #[serde(default)]
     pub secret: Option<PathBuf>,
 }
--- a/src/cli/output_format.rs
+++ b/src/cli/output_format.rs
@@ -7,23 +7,23 @@
 
 use super::CliError;
 
-/// For whom a command writes its report.
+/// The output format of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum OutputFormat {
-    /// Text for a person.
+    /// Human-readable text.
     Text,
-    /// One JSON document for a machine.
+    /// One JSON document, for scripts.
     Json,
 }
 
-/// A failed command, as a machine reads it.
+/// The JSON document of a failed command.
 #[derive(Debug, Serialize)]
-struct FailureReport {
+struct ErrorReport {
     error: String,
 }
 
 impl OutputFormat {
-    /// Returns the format that the flag `--json` asks for.
+    /// Returns the format that the flag `--json` selects.
     pub(crate) const fn from_flag(json: bool) -> Self {
         if json { Self::Json } else { Self::Text }
     }
@@ -34,19 +34,19 @@
             Self::Text => report.to_string(),
             Self::Json => serde_json::to_string_pretty(report).unwrap_or_default(),
         };
-        // A reader that closed the pipe wants no more.
+        // The reader may have closed the pipe.
         let _ = writeln!(io::stdout(), "{}", text.trim_end());
     }
 
-    /// Writes an error: for a machine to standard output, else to standard error.
+    /// Writes an error: JSON to standard output, text to standard error.
     pub(crate) fn print_error(self, error: &CliError) {
         match self {
             Self::Text => eprintln!("cyclamen: {error}"),
             Self::Json => {
-                let failure = FailureReport {
+                let report = ErrorReport {
                     error: error.to_string(),
                 };
-                let text = serde_json::to_string_pretty(&failure).unwrap_or_default();
+                let text = serde_json::to_string_pretty(&report).unwrap_or_default();
                 let _ = writeln!(io::stdout(), "{text}");
             }
         }
--- a/src/cli/tests/arguments.rs
+++ b/src/cli/tests/arguments.rs
@@ -1,4 +1,4 @@
-//! Exit codes tell a pipeline what happened.
+//! Exit codes of the command line.
 
 use std::fs;
 
@@ -17,7 +17,7 @@
 #[case::no_name(&["tls-test-certificate", "--folder", "/nowhere"])]
 #[case::no_address(&["call", "--name", "logbook", "--ca", "root.pem"])]
 #[case::bad_address(&["call", "--service-address", "logbook:443"])]
-fn wrong_usage_is_told_apart(#[case] arguments: &[&str]) {
+fn usage_errors_have_their_own_exit_status(#[case] arguments: &[&str]) {
     assert_eq!(run(arguments), ExitStatus::Usage);
 }
 
@@ -33,7 +33,10 @@
 #[case::good(r#"{"version": 1, "replaces": 0, "services": []}"#, ExitStatus::Done)]
 #[case::fault(r#"{"version": 1, "replaces": 1, "services": []}"#, ExitStatus::Failed)]
 #[case::malformed(r#"{"version": 1, "replaces": 0, "#, ExitStatus::Failed)]
-fn check_tells_whether_a_manifest_is_valid(#[case] text: &str, #[case] status: ExitStatus) {
+fn the_exit_status_of_check_shows_whether_a_manifest_is_valid(
+    #[case] text: &str,
+    #[case] status: ExitStatus,
+) {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let path = folder.path().join("manifest.json");
     fs::write(&path, text).expect("a writable folder");
--- a/src/cli/tests/in_force.rs
+++ b/src/cli/tests/in_force.rs
@@ -1,25 +1,25 @@
-//! A manifest is in force when every balancer reported it.
+//! A manifest is in force everywhere once every balancer has reported it.
 
 use rstest::rstest;
 
 use crate::{
-    cli::{GroupView, InForceReport},
+    cli::{GroupWatchers, InForceReport},
     control::api::{ControlStatus, WatcherName, WatcherStatus},
     key::{DomainName, FeedRevision},
 };
 
-fn balancers_at(revisions: &[u64]) -> GroupView {
+fn balancers_at(revisions: &[u64]) -> GroupWatchers {
     let balancers = revisions.iter().enumerate().map(|(index, count)| {
         let name = WatcherName::Balancer(format!("balancer-{index}"));
         watcher(name, *count)
     });
     let agent = watcher(WatcherName::Agent("agent".to_owned()), 0);
-    view_of(balancers.chain([agent]).collect())
+    group_of(balancers.chain([agent]).collect())
 }
 
-fn view_of(watchers: Vec<WatcherStatus>) -> GroupView {
-    let mut view = GroupView::default();
-    view.add(ControlStatus {
+fn group_of(watchers: Vec<WatcherStatus>) -> GroupWatchers {
+    let mut group = GroupWatchers::default();
+    group.add_status(ControlStatus {
         revision: FeedRevision::new(9),
         manifest_version: 3,
         manifest_digest: None,
@@ -30,7 +30,7 @@
         watcher_count: watchers.len(),
         watchers,
     });
-    view
+    group
 }
 
 fn watcher(name: WatcherName, count: u64) -> WatcherStatus {
@@ -45,8 +45,8 @@
 #[rstest]
 #[case::all(&[5, 9], true, &[])]
 #[case::one_lags(&[4, 5, 5], false, &["balancer-0"])]
-#[case::nobody_watches(&[], false, &[])]
-fn agents_do_not_count_and_laggards_are_named(
+#[case::no_watchers(&[], false, &[])]
+fn only_balancers_count_and_lagging_ones_are_listed(
     #[case] revisions: &[u64],
     #[case] everywhere: bool,
     #[case] lagging: &[&str],
@@ -58,15 +58,15 @@
 }
 
 #[test]
-fn a_balancer_that_changed_replica_counts_by_its_latest_word() {
+fn the_most_recent_report_of_a_balancer_that_changed_replica_counts() {
     let name = || WatcherName::Balancer("balancer-0".to_owned());
     let mut old = watcher(name(), 3);
     old.silent_millis = 9_000;
-    let mut view = view_of(vec![watcher(name(), 5), old.clone()]);
-    let report = InForceReport::new(&view, FeedRevision::new(5));
+    let mut group = group_of(vec![watcher(name(), 5), old.clone()]);
+    let report = InForceReport::new(&group, FeedRevision::new(5));
     assert!(report.everywhere);
     old.silent_millis = 1;
-    view.add_watcher(old);
-    let report = InForceReport::new(&view, FeedRevision::new(5));
+    group.add_watcher(old);
+    let report = InForceReport::new(&group, FeedRevision::new(5));
     assert!(!report.everywhere);
 }
--- a/src/cli/tests/mod.rs
+++ b/src/cli/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the command line, without any network.
+//! Tests of the command line without network access.
 
 mod arguments;
 mod in_force;
--- a/src/cli/tests/secrets.rs
+++ b/src/cli/tests/secrets.rs
@@ -1,10 +1,10 @@
-//! A secret is made once and rotated step by step.
+//! Creating and rotating a secret file.
 
 use super::run;
 use crate::{program::ExitStatus, secret::DeploymentSecret};
 
 #[test]
-fn a_rotation_keeps_the_old_epoch_until_the_end() {
+fn a_rotation_keeps_the_old_epoch_until_its_last_step() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let path = folder.path().join("secret.json");
     let name = path.to_str().expect("an ASCII path");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_secret_in_use_is_not_overwritten() {
+fn an_existing_secret_is_not_overwritten() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let path = folder.path().join("secret.json");
     let name = path.to_str().expect("an ASCII path");
