--- a/src/admin/admin_client.rs
+++ b/src/admin/admin_client.rs
@@ -11,7 +11,9 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-use super::{AdminCall, AdminError, AdminRefusal, DrainRequest, admin_server::ANSWER_BYTES};
+use super::{
+    AdminError, AdminMethod, AdminRefusal, DrainRequest, admin_server::MAX_RESPONSE_BYTES,
+};
 use crate::{
     agent::drain::DrainReport,
     control::api::StatusRequest,
@@ -19,27 +21,27 @@
     secret::SecretStore,
 };
 
-/// The time that a process has for an answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long a call waits for its response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A JSON-RPC client that signs what it sends.
+/// A JSON-RPC client that signs its requests and verifies the responses.
 type SignedClient = HttpClient<RpcLogger<RpcService<SignService<HttpBackend>>>>;
 
-/// An operator's connection to the admin address of one process.
+/// A client of the admin address of one process.
 pub(crate) struct AdminClient {
     address: SocketAddr,
     client: SignedClient,
 }
 
 impl AdminClient {
-    /// Creates a client that signs with `secret`; it connects at the first call.
+    /// Creates a client that signs with `secret`; it connects on the first call.
     pub(crate) fn new(address: SocketAddrV4, secret: SecretStore) -> Result<Self, AdminError> {
         let address = SocketAddr::V4(address);
-        let body_limit = usize::try_from(ANSWER_BYTES).unwrap_or(usize::MAX);
+        let body_limit = usize::try_from(MAX_RESPONSE_BYTES).unwrap_or(usize::MAX);
         let sign = SignLayer::new(secret, body_limit);
         let client = HttpClientBuilder::default()
-            .request_timeout(ANSWER_TIMEOUT)
-            .max_response_size(ANSWER_BYTES)
+            .request_timeout(RESPONSE_TIMEOUT)
+            .max_response_size(MAX_RESPONSE_BYTES)
             .set_http_middleware(tower::ServiceBuilder::new().layer(sign))
             .build(format!("http://{address}"))
             .map_err(|cause| AdminError::Client {
@@ -49,44 +51,44 @@
         Ok(Self { address, client })
     }
 
-    /// Returns the whole state of the process.
+    /// Returns the full state of the process.
     pub(crate) async fn dump(&self) -> Result<Value, AdminError> {
-        // Control replicas take an empty object here.
-        self.call(AdminCall::Dump, rpc_params![StatusRequest {}])
+        // Control replicas expect an empty object as the parameter.
+        self.call(AdminMethod::Dump, rpc_params![StatusRequest {}])
             .await
     }
 
-    /// Starts a planned stop of the agent's target.
+    /// Starts a drain of the agent's target, or sets the deadline of a running one.
     pub(crate) async fn drain(&self, request: DrainRequest) -> Result<DrainReport, AdminError> {
-        self.call(AdminCall::Drain, rpc_params![request]).await
+        self.call(AdminMethod::Drain, rpc_params![request]).await
     }
 
-    /// Takes a planned stop back.
+    /// Cancels the drain.
     pub(crate) async fn cancel_drain(&self) -> Result<DrainReport, AdminError> {
-        self.call(AdminCall::CancelDrain, rpc_params![]).await
+        self.call(AdminMethod::CancelDrain, rpc_params![]).await
     }
 
-    /// Returns how far a planned stop has come.
+    /// Returns the progress of the drain.
     pub(crate) async fn drain_status(&self) -> Result<DrainReport, AdminError> {
-        self.call(AdminCall::DrainStatus, rpc_params![]).await
+        self.call(AdminMethod::DrainStatus, rpc_params![]).await
     }
 
     async fn call<T: DeserializeOwned>(
         &self,
-        call: AdminCall,
+        method: AdminMethod,
         parameters: ArrayParams,
     ) -> Result<T, AdminError> {
-        let answer = self.client.request(call.method(), parameters).await;
-        answer.map_err(|error| self.explain(error))
+        let response = self.client.request(method.name(), parameters).await;
+        response.map_err(|error| self.classify_error(error))
     }
 
-    fn explain(&self, error: ClientError) -> AdminError {
+    fn classify_error(&self, error: ClientError) -> AdminError {
         let address = self.address;
-        if let Some(refusal) = read_refusal(&error) {
+        if let Some(refusal) = parse_refusal(&error) {
             return AdminError::Refused { address, refusal };
         }
         match error {
-            ClientError::Call(object) => AdminError::UnknownCall {
+            ClientError::Call(object) => AdminError::UnknownMethod {
                 address,
                 message: object.message().to_owned(),
             },
@@ -98,7 +100,7 @@
     }
 }
 
-fn read_refusal(error: &ClientError) -> Option<AdminRefusal> {
+fn parse_refusal(error: &ClientError) -> Option<AdminRefusal> {
     let ClientError::Call(object) = error else {
         return None;
     };
--- a/src/admin/admin_edge.rs
+++ b/src/admin/admin_edge.rs
@@ -3,19 +3,21 @@
 use super::{AdminError, AdminServer, AdminSource, start_metrics};
 use crate::secret::SecretStore;
 
-/// The addresses at which a process shows itself, from its settings.
+/// The admin and metrics addresses of a process, from its settings.
 #[derive(Debug, Clone)]
 pub(crate) struct AdminEdge {
-    /// The address of the admin calls.
+    /// The address for admin calls; not served when absent.
     pub(crate) admin_listen: Option<SocketAddrV4>,
-    /// The address of the metrics.
+    /// The address for metrics; not served when absent.
     pub(crate) metrics_listen: Option<SocketAddrV4>,
     /// The file with the deployment secret.
     pub(crate) secret_file: PathBuf,
 }
 
 impl AdminEdge {
-    /// Serves both addresses, as far as they are set, until the server is dropped.
+    /// Starts serving the addresses that are set.
+    ///
+    /// Admin calls are answered until the returned server is dropped.
     pub(crate) async fn open(self, source: AdminSource) -> Result<Option<AdminServer>, AdminError> {
         if let Some(listen) = self.metrics_listen {
             start_metrics(listen)?;
--- a/src/admin/admin_error.rs
+++ b/src/admin/admin_error.rs
@@ -6,46 +6,46 @@
 use super::AdminRefusal;
 use crate::secret::SecretError;
 
-/// Why an admin address could not be served or called.
+/// An error in serving or calling an admin or metrics address.
 #[derive(Debug, Error, Diagnostic)]
 pub enum AdminError {
-    /// The deployment secret was refused.
+    /// The deployment secret could not be loaded.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Secret(#[from] SecretError),
-    /// The address can't be listened on.
+    /// The address could not be bound.
     #[error("cannot listen on {address}: {cause}; is it in use, or not an address of this host?")]
     Listen {
         /// The address from the settings.
         address: SocketAddr,
-        /// What the system answered.
+        /// The error of the operating system.
         #[source]
         cause: io::Error,
     },
-    /// The metrics can't be offered.
-    #[error("cannot offer metrics on {address}: {cause}")]
+    /// The metrics could not be served.
+    #[error("cannot serve metrics on {address}: {cause}")]
     Metrics {
         /// The address from the settings.
         address: SocketAddr,
-        /// What the metrics library met.
+        /// The error of the metrics library.
         #[source]
         cause: metrics_exporter_prometheus::BuildError,
     },
-    /// Another part of the process collects the metrics already.
-    #[error("the metrics of this process are collected already")]
-    MetricsTaken,
-    /// No client can be made for the address.
+    /// The process already has a metrics recorder.
+    #[error("this process already has a metrics recorder")]
+    RecorderInstalled,
+    /// No client could be created for the address.
     #[error("cannot call {address}: {cause}")]
     Client {
-        /// The address that was to be called.
+        /// The address of the process.
         address: SocketAddr,
         /// What the JSON-RPC library met.
         #[source]
         cause: Box<jsonrpsee::core::ClientError>,
     },
-    /// The call was not answered, or its proof was refused.
+    /// No response arrived, or authentication of the call failed on either side.
     #[error(
-        "no proven answer from {address}: {cause}; is it an admin address, is the secret the same, do the clocks agree?"
+        "no authenticated response from {address}: {cause}; is it an admin address, is the secret the same, do the clocks agree?"
     )]
     Unanswered {
         /// The address that was called.
@@ -54,12 +54,12 @@
         #[source]
         cause: Box<jsonrpsee::core::ClientError>,
     },
-    /// The process knows no such call.
-    #[error("{address} answers, but not this call: {message}")]
-    UnknownCall {
+    /// The process does not support the method.
+    #[error("{address} does not support this call: {message}")]
+    UnknownMethod {
         /// The address that was called.
         address: SocketAddr,
-        /// What the process answered.
+        /// The message of the JSON-RPC error.
         message: String,
     },
     /// The process refused the call.
@@ -67,7 +67,7 @@
     Refused {
         /// The address that was called.
         address: SocketAddr,
-        /// Why the process refused.
+        /// The refusal that the process returned.
         refusal: AdminRefusal,
     },
 }
--- a/src/admin/admin_server.rs
+++ b/src/admin/admin_server.rs
@@ -6,19 +6,19 @@
     types::ErrorObjectOwned,
 };
 
-use super::{AdminCall, AdminError, AdminSource, DrainCommand, DrainRequest};
+use super::{AdminError, AdminMethod, AdminSource, DrainCommand, DrainRequest};
 use crate::{proof::ProofLayer, secret::SecretStore};
 
-/// The longest call in bytes.
-const CALL_BYTES: u32 = 64 * 1024;
-/// The longest answer in bytes; a dump holds a whole route table.
-pub(super) const ANSWER_BYTES: u32 = 512 * 1024 * 1024;
-/// The most connections that are open at once.
-const CONNECTIONS: u32 = 16;
-/// Why registering a method can't fail.
-const DISTINCT_NAMES: &str = "each call has its own name";
+/// The largest request in bytes.
+const MAX_REQUEST_BYTES: u32 = 64 * 1024;
+/// The largest response in bytes; a dump contains a full route table.
+pub(super) const MAX_RESPONSE_BYTES: u32 = 512 * 1024 * 1024;
+/// The limit of concurrent connections.
+const MAX_CONNECTIONS: u32 = 16;
+/// Why registering a method cannot fail.
+const UNIQUE_METHOD_NAMES: &str = "method names are distinct";
 
-/// Answers an operator's proven calls; it stops when it is dropped.
+/// Serves authenticated admin calls over JSON-RPC; stops when dropped.
 #[derive(Debug)]
 pub struct AdminServer {
     address: SocketAddr,
@@ -26,11 +26,11 @@
 }
 
 impl AdminServer {
-    /// Listens on `listen` and answers from `source`.
+    /// Starts a server on `listen` that answers calls from `source`.
     ///
     /// # Errors
     ///
-    /// Fails when the address can't be listened on.
+    /// Fails when the address cannot be bound.
     pub async fn start(
         listen: SocketAddrV4,
         secret: SecretStore,
@@ -42,13 +42,13 @@
             cause,
         };
         let config = ServerConfig::builder()
-            .max_request_body_size(CALL_BYTES)
-            .max_response_body_size(ANSWER_BYTES)
-            .max_connections(CONNECTIONS)
+            .max_request_body_size(MAX_REQUEST_BYTES)
+            .max_response_body_size(MAX_RESPONSE_BYTES)
+            .max_connections(MAX_CONNECTIONS)
             .set_batch_request_config(BatchRequestConfig::Disabled)
             .http_only()
             .build();
-        let body_limit = usize::try_from(CALL_BYTES).unwrap_or(usize::MAX);
+        let body_limit = usize::try_from(MAX_REQUEST_BYTES).unwrap_or(usize::MAX);
         let proof = ProofLayer::new(secret, body_limit);
         let server = Server::builder()
             .set_config(config)
@@ -57,51 +57,51 @@
             .await
             .map_err(failed)?;
         let address = server.local_addr().map_err(failed)?;
-        let handle = server.start(answer_from(source));
+        let handle = server.start(build_rpc_module(source));
         Ok(Self { address, handle })
     }
 
-    /// Returns the address that is listened on, with its actual port.
+    /// Returns the bound address with its actual port.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops answering and waits until calls in progress are done.
+    /// Stops accepting calls and waits until those in progress have finished.
     pub async fn stop(self) {
-        // An error tells that it has stopped already.
+        // An error means that the server has already stopped.
         let _ = self.handle.stop();
         self.handle.stopped().await;
     }
 }
 
-/// Returns the methods of the admin address, all answered by `source`.
-fn answer_from(source: AdminSource) -> RpcModule<AdminSource> {
+/// Registers the methods of the admin address, which `source` answers.
+fn build_rpc_module(source: AdminSource) -> RpcModule<AdminSource> {
     let mut module = RpcModule::new(source);
     module
-        .register_async_method(AdminCall::Dump.method(), |_, source, _| async move {
+        .register_async_method(AdminMethod::Dump.name(), |_, source, _| async move {
             source.dump().await
         })
-        .expect(DISTINCT_NAMES);
+        .expect(UNIQUE_METHOD_NAMES);
     module
         .register_async_method(
-            AdminCall::Drain.method(),
+            AdminMethod::Drain.name(),
             |parameters, source, _| async move {
                 let request: DrainRequest = parameters.one()?;
                 let report = source.drain(DrainCommand::Begin(request)).await;
                 report.map_err(ErrorObjectOwned::from)
             },
         )
-        .expect(DISTINCT_NAMES);
+        .expect(UNIQUE_METHOD_NAMES);
     module
-        .register_async_method(AdminCall::CancelDrain.method(), |_, source, _| async move {
+        .register_async_method(AdminMethod::CancelDrain.name(), |_, source, _| async move {
             source.drain(DrainCommand::Cancel).await
         })
-        .expect(DISTINCT_NAMES);
+        .expect(UNIQUE_METHOD_NAMES);
     module
-        .register_async_method(AdminCall::DrainStatus.method(), |_, source, _| async move {
+        .register_async_method(AdminMethod::DrainStatus.name(), |_, source, _| async move {
             source.drain(DrainCommand::Report).await
         })
-        .expect(DISTINCT_NAMES);
+        .expect(UNIQUE_METHOD_NAMES);
     module
 }
--- a/src/admin/admin_source.rs
+++ b/src/admin/admin_source.rs
@@ -6,23 +6,23 @@
 use super::{AdminRefusal, DrainCommand};
 use crate::agent::drain::DrainReport;
 
-type Pending<T> = Pin<Box<dyn Future<Output = T> + Send>>;
-type DumpAnswer = Result<Value, AdminRefusal>;
-type DumpFunction = dyn Fn() -> Pending<DumpAnswer> + Send + Sync;
-type DrainFunction = dyn Fn(DrainCommand) -> Pending<Option<DrainReport>> + Send + Sync;
+type BoxedFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
+type DumpResult = Result<Value, AdminRefusal>;
+type DumpHandler = dyn Fn() -> BoxedFuture<DumpResult> + Send + Sync;
+type DrainHandler = dyn Fn(DrainCommand) -> BoxedFuture<Option<DrainReport>> + Send + Sync;
 
-/// Where an admin server gets its answers within the process.
+/// The functions of a process that answer its admin calls.
 #[derive(Clone)]
 pub struct AdminSource {
-    dump: Arc<DumpFunction>,
-    drain: Option<Arc<DrainFunction>>,
+    dump: Arc<DumpHandler>,
+    drain: Option<Arc<DrainHandler>>,
 }
 
 impl AdminSource {
-    /// Answers dumps with what `dump` returns, written as JSON.
+    /// Creates a source that answers dumps with the state that `dump` returns.
     ///
-    /// `dump` should copy the state or read a snapshot; it must not hold up
-    /// the packet path.
+    /// `dump` should copy the state or read a snapshot; it must not block the
+    /// packet path.
     pub fn new<F, W, T>(dump: F) -> Self
     where
         F: Fn() -> W + Send + Sync + 'static,
@@ -32,15 +32,16 @@
         Self {
             dump: Arc::new(move || {
                 let state = dump();
-                Box::pin(async move { write_state(&state.await) })
+                Box::pin(async move { serialize_state(&state.await) })
             }),
             drain: None,
         }
     }
 
-    /// Hands the operator's drain commands to `drain`.
+    /// Passes drain commands to `drain`.
     ///
-    /// It returns the report after the command, or none once the agent stops.
+    /// `drain` returns the report after the command, or `None` once the agent is
+    /// stopping.
     #[must_use]
     pub(crate) fn with_drain<F, W>(mut self, drain: F) -> Self
     where
@@ -51,12 +52,12 @@
         self
     }
 
-    /// Returns the whole state.
-    pub(super) async fn dump(&self) -> DumpAnswer {
+    /// Returns the full state as JSON.
+    pub(super) async fn dump(&self) -> DumpResult {
         (self.dump)().await
     }
 
-    /// Carries out a drain command and returns the report after it.
+    /// Executes a drain command and returns the report after it.
     pub(super) async fn drain(&self, command: DrainCommand) -> Result<DrainReport, AdminRefusal> {
         let drain = self.drain.as_ref();
         let drain = drain.ok_or(AdminRefusal::NothingToDrain)?;
@@ -73,6 +74,6 @@
     }
 }
 
-fn write_state<T: Serialize>(state: &T) -> DumpAnswer {
+fn serialize_state<T: Serialize>(state: &T) -> DumpResult {
     serde_json::to_value(state).map_err(|_| AdminRefusal::Unwritable)
 }
--- a/src/admin/drain_command.rs
+++ b/src/admin/drain_command.rs
@@ -2,22 +2,22 @@
 
 use crate::clock::SpanMillis;
 
-/// The parameter of the call `drain`.
+/// The parameter of the method `drain`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(crate) struct DrainRequest {
-    /// When to cut what still runs; without one, nothing is cut.
+    /// The time after which open work is cut; without it, nothing is cut.
     #[serde(rename = "deadline_millis")]
     pub(crate) deadline: Option<SpanMillis>,
 }
 
-/// What an operator wants of a drain.
+/// An operator's command on a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum DrainCommand {
-    /// Start it, or set the deadline of one that runs.
+    /// Starts a drain, or sets the deadline of a running one.
     Begin(DrainRequest),
-    /// Take it back.
+    /// Cancels the drain.
     Cancel,
-    /// Tell how far it has come.
+    /// Reports the progress of the drain.
     Report,
 }
--- a/src/admin/metrics_listener.rs
+++ b/src/admin/metrics_listener.rs
@@ -5,29 +5,29 @@
 use super::AdminError;
 use crate::clock::SpanMillis;
 
-/// Offers the metrics of this process in Prometheus' text format.
+/// Serves the metrics of this process in the Prometheus text format.
 ///
-/// It must be called within the runtime, once a process.
+/// Must be called within the runtime, once per process.
 ///
 /// # Errors
 ///
-/// Fails when the address can't be listened on, or at a second call.
+/// Fails when the address cannot be bound, or on a second call.
 pub fn start_metrics(listen: SocketAddrV4) -> Result<(), AdminError> {
     let address = SocketAddr::V4(listen);
     PrometheusBuilder::new()
         .with_http_listener(address)
         .install()
         .map_err(|cause| match cause {
-            BuildError::FailedToSetGlobalRecorder(_) => AdminError::MetricsTaken,
+            BuildError::FailedToSetGlobalRecorder(_) => AdminError::RecorderInstalled,
             cause => AdminError::Metrics { address, cause },
         })
 }
 
-/// Offers the metrics once `delay` is over; nothing is offered earlier.
+/// Serves the metrics after `delay`; none are recorded or served before that.
 ///
-/// The recorder measures the processor's clock when it is built, which takes a
-/// small VM a good part of its start; so it is built later, on a thread of its
-/// own. It must be called within the runtime.
+/// Building the recorder calibrates the CPU's clock, which takes a large part of
+/// a small VM's startup time, so it is built later and on a blocking thread. Must
+/// be called within the runtime.
 ///
 /// # Errors
 ///
@@ -42,9 +42,9 @@
     let build = move || PrometheusBuilder::new().with_http_listener(address).build();
     let (recorder, exporter) = tokio::task::spawn_blocking(build)
         .await
-        .map_err(|_| AdminError::MetricsTaken)?
+        .map_err(|_| AdminError::RecorderInstalled)?
         .map_err(failed)?;
-    metrics::set_global_recorder(recorder).map_err(|_| AdminError::MetricsTaken)?;
+    metrics::set_global_recorder(recorder).map_err(|_| AdminError::RecorderInstalled)?;
     tokio::spawn(exporter);
     Ok(())
 }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,9 +1,9 @@
-//! What every process offers an operator: its dump, its drain, its metrics.
+//! The admin interface of every process: state dumps, drains and metrics.
 
-mod admin_call;
 mod admin_client;
 mod admin_edge;
 mod admin_error;
+mod admin_method;
 mod admin_refusal;
 mod admin_server;
 mod admin_source;
@@ -16,9 +16,9 @@
 pub use admin_source::AdminSource;
 pub use metrics_listener::{start_metrics, start_metrics_after};
 
-pub(crate) use admin_call::AdminCall;
 pub(crate) use admin_client::AdminClient;
 pub(crate) use admin_edge::AdminEdge;
+pub(crate) use admin_method::AdminMethod;
 pub(crate) use drain_command::{DrainCommand, DrainRequest};
 
 #[cfg(test)]
--- a/src/admin/tests/calls.rs
+++ b/src/admin/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Proven calls are answered by the source.
+//! Authenticated calls are answered by the admin source.
 
 use tokio::sync::mpsc;
 
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test]
-async fn a_dump_is_the_state_as_json() {
+async fn a_dump_returns_the_state_as_json() {
     let secret = sample_secret();
     let (server, address) = start(&secret, sample_source()).await;
     let client = AdminClient::new(address, secret).expect("a client");
@@ -34,11 +34,11 @@
 }
 
 #[tokio::test]
-async fn a_drain_goes_to_the_agent_and_its_report_comes_back() {
+async fn drain_calls_reach_the_agent_and_return_its_report() {
     let secret = sample_secret();
-    let (commands, mut seen) = mpsc::unbounded_channel();
+    let (commands, mut received) = mpsc::unbounded_channel();
     let source = sample_source().with_drain(move |command| {
-        commands.send(command).expect("the test listens");
+        commands.send(command).expect("the receiver is open");
         async { Some(sample_report()) }
     });
     let (_server, address) = start(&secret, source).await;
@@ -52,17 +52,17 @@
     );
     client.cancel_drain().await.expect("a report");
     client.drain_status().await.expect("a report");
-    assert_eq!(seen.recv().await, Some(DrainCommand::Begin(request)));
-    assert_eq!(seen.recv().await, Some(DrainCommand::Cancel));
-    assert_eq!(seen.recv().await, Some(DrainCommand::Report));
+    assert_eq!(received.recv().await, Some(DrainCommand::Begin(request)));
+    assert_eq!(received.recv().await, Some(DrainCommand::Cancel));
+    assert_eq!(received.recv().await, Some(DrainCommand::Report));
 }
 
 #[tokio::test]
-async fn a_process_without_a_drain_says_so() {
+async fn a_process_that_is_no_agent_refuses_drain_calls() {
     let secret = sample_secret();
     let (_server, address) = start(&secret, sample_source()).await;
     let client = AdminClient::new(address, secret).expect("a client");
-    let error = client.drain_status().await.expect_err("no agent");
+    let error = client.drain_status().await.expect_err("not an agent");
     assert!(matches!(
         error,
         AdminError::Refused {
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test]
-async fn an_address_in_use_is_named() {
+async fn the_error_for_an_address_in_use_contains_the_address() {
     let secret = sample_secret();
     let (_server, address) = start(&secret, sample_source()).await;
     assert_eq!(address.ip(), ANY_PORT.ip());
--- a/src/admin/tests/mod.rs
+++ b/src/admin/tests/mod.rs
@@ -10,7 +10,7 @@
 use super::{AdminServer, AdminSource};
 use crate::secret::{DeploymentSecret, SecretStore};
 
-/// Lets the system choose the port.
+/// Lets the operating system choose the port.
 const ANY_PORT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
 
 #[derive(Debug, Clone, Serialize)]
--- a/src/admin/tests/refusals.rs
+++ b/src/admin/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Calls without the right proof are refused before anything is read.
+//! Unauthenticated calls are refused before they reach the admin source.
 
 use std::{
     net::SocketAddrV4,
@@ -16,7 +16,7 @@
     secret::SecretStore,
 };
 
-/// Starts a server that counts how often its state was asked for.
+/// Starts a server and returns a counter of the dumps that it served.
 async fn start_counting(secret: &SecretStore) -> (AdminServer, SocketAddrV4, Arc<AtomicU32>) {
     let count = Arc::new(AtomicU32::new(0));
     let counted = Arc::clone(&count);
@@ -29,18 +29,18 @@
 }
 
 #[tokio::test]
-async fn a_call_without_proof_reaches_nothing() {
+async fn an_unauthenticated_call_never_reaches_the_source() {
     let (_server, address, count) = start_counting(&sample_secret()).await;
     let client = HttpClientBuilder::default()
         .build(format!("http://{address}"))
         .expect("a client");
-    let answer: Result<serde_json::Value, _> = client.request("dump", rpc_params![]).await;
-    assert!(answer.is_err());
+    let response: Result<serde_json::Value, _> = client.request("dump", rpc_params![]).await;
+    assert!(response.is_err());
     assert_eq!(count.load(Ordering::Relaxed), 0);
 }
 
 #[tokio::test]
-async fn a_call_proven_by_another_secret_reaches_nothing() {
+async fn a_call_signed_with_another_secret_never_reaches_the_source() {
     let (_server, address, count) = start_counting(&sample_secret()).await;
     let client = AdminClient::new(address, sample_secret()).expect("a client");
     let error = client.dump().await.expect_err("another secret");
--- a/src/bin/cyclamen-lab.rs
+++ b/src/bin/cyclamen-lab.rs
@@ -1,4 +1,6 @@
-//! `cyclamen-lab`: experiments on rules and costs; see `docs/design/accepting-and-relay.md`.
+//! `cyclamen-lab`: simulations of accepting and relay rules, and cost measurements.
+//!
+//! See `docs/design/accepting-and-relay.md`.
 
 use std::process::ExitCode;
 
--- a/src/caller/answer_stream.rs
+++ b/src/caller/answer_stream.rs
@@ -5,10 +5,10 @@
 
 use super::{CallAnswer, CallerError};
 
-/// The longest answer that is kept in memory.
-const MOST_ANSWER_BYTES: usize = 64 * 1024 * 1024;
+/// The largest response body in bytes that is collected in memory.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// An answer whose body is still coming in.
+/// A response whose body is still being received.
 pub struct AnswerStream {
     status: u16,
     headers: HeaderMap,
@@ -16,12 +16,12 @@
 }
 
 impl AnswerStream {
-    /// Sends the body and waits for the head of the answer.
+    /// Sends the request body and waits for the response headers.
     pub(super) async fn open(
         mut stream: RequestStream<BidiStream<Bytes>, Bytes>,
         body: Bytes,
     ) -> Result<Self, CallerError> {
-        // A server may answer in full and stop reading; the answer counts.
+        // A server may respond completely and stop reading the body; its response is valid.
         match send_body(&mut stream, body).await {
             Ok(()) | Err(StreamError::RemoteTerminate { .. }) => {}
             Err(error) => return Err(CallerError::Stream(error)),
@@ -40,34 +40,34 @@
         self.status
     }
 
-    /// Returns the headers.
+    /// Returns the response headers.
     #[must_use]
     pub const fn headers(&self) -> &HeaderMap {
         &self.headers
     }
 
-    /// Waits for the next part of the body; none at its proper end.
+    /// Waits for the next part of the body; `None` at its regular end.
     ///
     /// # Errors
     ///
-    /// Fails when the stream was cut before its end.
+    /// Fails when the stream ended before the body was complete.
     pub async fn next_part(&mut self) -> Result<Option<Bytes>, CallerError> {
         let part = self.stream.recv_data().await;
         let part = part.map_err(CallerError::Stream)?;
         Ok(part.map(|mut part| part.copy_to_bytes(part.remaining())))
     }
 
-    /// Waits for the whole body.
+    /// Waits for the complete body.
     ///
     /// # Errors
     ///
-    /// Fails when the body was cut or is too long.
+    /// Fails when the body is incomplete or exceeds 64 MiB.
     pub async fn collect(mut self) -> Result<CallAnswer, CallerError> {
         let mut body = BytesMut::new();
         while let Some(part) = self.next_part().await? {
-            if body.len() + part.len() > MOST_ANSWER_BYTES {
+            if body.len() + part.len() > MAX_RESPONSE_BYTES {
                 return Err(CallerError::Oversize {
-                    limit: MOST_ANSWER_BYTES,
+                    limit: MAX_RESPONSE_BYTES,
                 });
             }
             body.extend_from_slice(&part);
--- a/src/caller/call_answer.rs
+++ b/src/caller/call_answer.rs
@@ -3,31 +3,32 @@
 
 use crate::agent::outcome::ProblemDocument;
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone)]
 pub struct CallAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// The headers.
+    /// The response headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl CallAnswer {
-    /// Returns whether the status tells of success.
+    /// Returns whether the status is 2xx.
     #[must_use]
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 
-    /// Returns a header's value, if it is text.
+    /// Returns the value of a header, if it is present and visible ASCII.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 
-    /// Returns whether the answer says that the request did not and won't run.
+    /// Returns whether the response is a refusal which states that the request did
+    /// not run and never will.
     #[must_use]
     pub fn is_refused_unrun(&self) -> bool {
         let problem: Result<ProblemDocument, _> = serde_json::from_slice(&self.body);
--- a/src/caller/call_request.rs
+++ b/src/caller/call_request.rs
@@ -4,9 +4,9 @@
 use super::CallerError;
 
 /// The header that carries a ticket.
-const TICKET_HEADER: &str = "idempotency-key";
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// One request to a service.
+/// An HTTP request to a service.
 #[derive(Debug, Clone)]
 pub struct CallRequest {
     method: String,
@@ -34,10 +34,10 @@
         self
     }
 
-    /// Sends a ticket along, so that the request runs at most once.
+    /// Adds a ticket as `Idempotency-Key`, so that the request runs at most once.
     #[must_use]
     pub fn with_ticket(self, ticket: &str) -> Self {
-        self.with_header(TICKET_HEADER, ticket)
+        self.with_header(IDEMPOTENCY_KEY_HEADER, ticket)
     }
 
     /// Sets the body.
@@ -47,7 +47,7 @@
         self
     }
 
-    /// Returns the head for the service of this name, and the body.
+    /// Returns the request head addressed to `service`, and the body.
     pub(super) fn into_parts(self, service: &str) -> Result<(Request<()>, Bytes), CallerError> {
         let mut builder = Request::builder()
             .method(self.method.as_str())
--- a/src/caller/caller_error.rs
+++ b/src/caller/caller_error.rs
@@ -7,25 +7,25 @@
 
 use crate::tls::TlsError;
 
-/// Why a request came back without a whole answer.
+/// Why a request got no complete response.
 #[derive(Debug, Error, Diagnostic)]
 pub enum CallerError {
-    /// The TLS settings were refused.
+    /// The TLS settings could not be loaded.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Tls(#[from] TlsError),
-    /// No socket could be opened.
+    /// The UDP socket could not be opened.
     #[error("cannot open a UDP socket: {0}")]
     Socket(#[source] io::Error),
-    /// The TLS library lacks what QUIC needs.
+    /// The TLS settings lack the cipher suite that QUIC starts with.
     #[error("the TLS settings can't be used for QUIC: {0}")]
     Cipher(#[source] quinn::crypto::rustls::NoInitialCipherSuite),
-    /// The connection could not be attempted.
+    /// The connection attempt could not be started.
     #[error("cannot connect to {address}: {cause}")]
     Connect {
         /// The service's address.
         address: SocketAddrV4,
-        /// What the QUIC library refused.
+        /// The error of the QUIC library.
         #[source]
         cause: ConnectError,
     },
@@ -34,34 +34,35 @@
     Handshake {
         /// The service's address.
         address: SocketAddrV4,
-        /// How the connection ended.
+        /// Why the connection ended.
         #[source]
         cause: ConnectionError,
     },
-    /// The connection is lost.
-    #[error("the connection is lost: {0}")]
+    /// The connection was lost.
+    #[error("the connection was lost: {0}")]
     Connection(#[source] Http3Error),
-    /// The connection takes no new requests; this one was not sent.
+    /// The connection accepts no new requests, so this one was not sent.
     #[error("the request was not sent: {0}")]
     Unsent(#[source] StreamError),
-    /// The request's stream was cut; the answer, if any, is not whole.
+    /// The request's stream was reset; the response, if any, is incomplete.
     #[error("the request was cut: {0}")]
     Stream(#[source] StreamError),
-    /// The request can't be written as HTTP.
+    /// The request is not valid HTTP.
     #[error("the request can't be sent: {0}")]
     Malformed(#[source] http::Error),
-    /// The answer is longer than the caller keeps.
-    #[error("the answer has more than {limit} bytes")]
+    /// The response is too large to collect in memory.
+    #[error("the response has more than {limit} bytes")]
     Oversize {
-        /// The longest answer that is kept.
+        /// The limit in bytes.
         limit: usize,
     },
 }
 
 impl CallerError {
-    /// Returns whether the request was surely not processed.
+    /// Returns whether the request was certainly not processed.
     ///
-    /// The server rejects by code what arrives after it announced to leave.
+    /// A server rejects requests that arrive after its GOAWAY with the code
+    /// `H3_REQUEST_REJECTED`.
     #[must_use]
     pub fn is_unsent(&self) -> bool {
         match self {
--- a/src/caller/mod.rs
+++ b/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! An ordinary HTTP/3 caller of services, for `cyclamen call` and the demo.
+//! A plain HTTP/3 client of services, for `cyclamen call`, the demo and tests.
 
 mod answer_stream;
 mod call_answer;
--- a/src/caller/service_caller.rs
+++ b/src/caller/service_caller.rs
@@ -17,13 +17,13 @@
     tls::{ServerTrust, client_config},
 };
 
-/// How often a quiet caller asks whether its connection still stands.
+/// The interval of keep-alive packets on an idle connection.
 ///
-/// A restarted agent can tell of a lost connection only in answer to a packet,
-/// and a caller that only listens sends none by itself.
+/// A restarted agent can report a lost connection only in response to a packet,
+/// and a client that only receives sends none by itself.
 const KEEP_ALIVE_MILLIS: SpanMillis = SpanMillis::new(3_000);
 
-/// One connection to a service, from a socket of its own.
+/// An HTTP/3 connection to a service, with its own UDP socket.
 pub struct ServiceCaller {
     service: String,
     endpoint: Endpoint,
@@ -32,11 +32,11 @@
 }
 
 impl ServiceCaller {
-    /// Connects to the service of this name at `address`.
+    /// Connects to the service with this name at `address`.
     ///
     /// # Errors
     ///
-    /// Fails when no agent accepts the connection or its certificate is not
+    /// Fails when no agent accepts the connection or the certificate is not
     /// trusted.
     pub async fn connect(
         address: SocketAddrV4,
@@ -53,7 +53,7 @@
         let (mut driver, sender) = h3::client::new(transport)
             .await
             .map_err(CallerError::Connection)?;
-        // The driver ends with the connection; the requests report why.
+        // The driver ends with the connection; its error is reported by the requests.
         tokio::spawn(async move { poll_fn(|context| driver.poll_close(context)).await });
         Ok(Self {
             service: service.to_owned(),
@@ -63,20 +63,20 @@
         })
     }
 
-    /// Sends a request and waits for the whole answer.
+    /// Sends a request and waits for the complete response.
     ///
     /// # Errors
     ///
-    /// Fails when the connection or the stream is cut before the answer's end.
+    /// Fails when the connection or the stream ends before the response is complete.
     pub async fn send(&self, request: CallRequest) -> Result<CallAnswer, CallerError> {
         self.open(request).await?.collect().await
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the response headers.
     ///
     /// # Errors
     ///
-    /// Fails when the connection or the stream is cut before that.
+    /// Fails when the connection or the stream ends before that.
     pub async fn open(&self, request: CallRequest) -> Result<AnswerStream, CallerError> {
         let (head, body) = request.into_parts(&self.service)?;
         let mut sender = self.sender.clone();
@@ -87,13 +87,13 @@
         AnswerStream::open(stream, body).await
     }
 
-    /// Returns whether the connection is known to be gone.
+    /// Returns whether the connection is known to be closed.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.connection.close_reason().is_some()
     }
 
-    /// Closes the connection and waits until the other end was told.
+    /// Closes the connection and waits until it is shut down, so that the peer is notified.
     pub async fn close(self) {
         self.connection.close(quinn::VarInt::from_u32(0), b"");
         self.endpoint.wait_idle().await;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! Cyclamenrouter: a layer-4 load balancer whose packets carry their own route.
 //!
-//! Each duty has its folder; `docs/DESIGN.md` tells how they act together.
+//! One module per responsibility; `docs/DESIGN.md` describes how they interact.
 
 pub mod admin;
 pub mod agent;
@@ -19,7 +19,7 @@
     clippy::cast_possible_truncation,
     clippy::cast_precision_loss,
     clippy::cast_sign_loss,
-    reason = "the figures of the model are rounded"
+    reason = "the results of the model are rounded"
 )]
 pub mod lab;
 pub mod listener;
