--- a/tests/admin_calls.rs
+++ b/tests/admin_calls.rs
@@ -1,4 +1,4 @@
-//! An operator dumps and drains running processes with the built command.
+//! Dumps and drains running processes with the built `cyclamen` command.
 
 mod support;
 
@@ -7,8 +7,8 @@
 use serde_json::Value;
 use support::{TestSite, eventually};
 
-/// Runs `cyclamen` with `--json`; returns its report once it succeeds.
-fn operate(site: &TestSite, arguments: &[&str], address: SocketAddrV4) -> Option<Value> {
+/// Runs `cyclamen` with `--json`; returns its report if it succeeds.
+fn run_cyclamen(site: &TestSite, arguments: &[&str], address: SocketAddrV4) -> Option<Value> {
     let output = Command::new(env!("CARGO_BIN_EXE_cyclamen"))
         .args(arguments)
         .arg("--json")
@@ -33,17 +33,17 @@
     let agent = site.address(100, 7200);
 
     eventually("the balancer's dump shows the manifest", async || {
-        let dump = operate(&site, &["dump"], balancer);
+        let dump = run_cyclamen(&site, &["dump"], balancer);
         dump.is_some_and(|dump| dump["manifest_version"] == 1)
     })
     .await;
     eventually("the agent answers its dump", async || {
-        let dump = operate(&site, &["dump"], agent);
+        let dump = run_cyclamen(&site, &["dump"], agent);
         dump.is_some_and(|dump| dump["service"] == "barge-control")
     })
     .await;
-    let drained = operate(&site, &["drain", "--wait"], agent).expect("a drain");
+    let drained = run_cyclamen(&site, &["drain", "--wait"], agent).expect("a drain");
     assert_eq!(drained["stage"]["stage"], "drained");
     assert_eq!(drained["stage"]["cut"], false);
-    assert_eq!(operate(&site, &["drain"], balancer), None);
+    assert_eq!(run_cyclamen(&site, &["drain"], balancer), None);
 }
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! The built programs refuse bad input with its place and the right exit code.
+//! The built programs reject bad input with its location and the right exit code.
 
 use std::{
     fs,
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use tempfile::TempDir;
 
-fn write(folder: &TempDir, name: &str, text: &str) -> PathBuf {
+fn write_file(folder: &TempDir, name: &str, text: &str) -> PathBuf {
     let path = folder.path().join(name);
     fs::write(&path, text).expect("a writable folder");
     path
@@ -24,7 +24,7 @@
         .expect("the program is built")
 }
 
-fn text_of(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     let mut text = String::from_utf8_lossy(&output.stdout).into_owned();
     text.push_str(&String::from_utf8_lossy(&output.stderr));
     text
@@ -33,7 +33,7 @@
 #[rstest]
 #[case::equal_names("logbook", "192.0.2.2:443", "services[1].name")]
 #[case::clashing_addresses("other", "192.0.2.1:443", "services[1].address")]
-fn a_faulty_manifest_is_refused_with_its_place(
+fn a_faulty_manifest_is_refused_with_the_place_of_the_fault(
     #[case] name: &str,
     #[case] address: &str,
     #[case] place: &str,
@@ -44,7 +44,7 @@
             {{"name": "logbook", "address": "192.0.2.1:443"}},
             {{"name": "{name}", "address": "{address}"}}]}}"#
     );
-    let file = write(&folder, "manifest.json", &text);
+    let file = write_file(&folder, "manifest.json", &text);
     let output = run(env!("CARGO_BIN_EXE_cyclamen"), &["check", "--json"], &file);
     assert_eq!(output.status.code(), Some(1));
     let report: serde_json::Value =
@@ -58,17 +58,21 @@
 #[case::agent(env!("CARGO_BIN_EXE_cyclamen-agent"))]
 fn settings_with_an_unknown_field_are_refused(#[case] program: &str) {
     let folder = tempfile::tempdir().expect("a temporary folder");
-    let file = write(&folder, "settings.json", "{\n  \"nmae\": \"x\"\n}");
+    let file = write_file(&folder, "settings.json", "{\n  \"nmae\": \"x\"\n}");
     let output = run(program, &["--check-settings", "--settings"], &file);
     assert_eq!(output.status.code(), Some(1));
-    assert!(text_of(&output).contains("nmae"), "{}", text_of(&output));
+    assert!(
+        output_text(&output).contains("nmae"),
+        "{}",
+        output_text(&output)
+    );
 }
 
 #[test]
-fn a_control_replica_names_an_address_in_use() {
+fn the_error_of_a_control_replica_names_an_address_in_use() {
     let folder = tempfile::tempdir().expect("a temporary folder");
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = taken.local_addr().expect("a bound socket").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("a bound socket").to_string();
     let secret = folder.path().join("secret.json");
     run(env!("CARGO_BIN_EXE_cyclamen"), &["secret", "new"], &secret);
     let settings = serde_json::json!({
@@ -78,7 +82,7 @@
         "data_folder": folder.path(),
         "secret_file": secret,
     });
-    let file = write(&folder, "control.json", &settings.to_string());
+    let file = write_file(&folder, "control.json", &settings.to_string());
     let output = run(
         env!("CARGO_BIN_EXE_cyclamen-control"),
         &["--settings"],
@@ -86,5 +90,9 @@
     );
     assert_eq!(output.status.code(), Some(1));
     let (_, port) = address.split_once(':').expect("a port");
-    assert!(text_of(&output).contains(port), "{}", text_of(&output));
+    assert!(
+        output_text(&output).contains(port),
+        "{}",
+        output_text(&output)
+    );
 }
--- a/tests/control_group/mod.rs
+++ b/tests/control_group/mod.rs
@@ -1,4 +1,4 @@
-//! Some built `cyclamen-control` processes on this machine.
+//! A control group of built `cyclamen-control` processes on loopback.
 
 use std::{
     fs::{self, File},
@@ -25,24 +25,24 @@
 
 use loopback::LoopbackBlock;
 
-/// How long anything may take that has to happen at last.
-pub const PATIENCE: Duration = Duration::from_secs(60);
-/// Where replicas answer calls.
+/// The longest wait for an expected state.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// The port where replicas answer calls.
 const CALL_PORT: u16 = 7_000;
-/// Where replicas answer each other.
+/// The port where replicas accept links of their peers.
 const LINK_PORT: u16 = 7_001;
-/// The pause between two looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+/// The interval between two checks of a state.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One replica: its settings stay, its process comes and goes.
+/// A replica whose settings and address outlive its process.
 struct GroupReplica {
-    calls: SocketAddrV4,
-    folder: PathBuf,
+    call_address: SocketAddrV4,
+    data_folder: PathBuf,
     settings: PathBuf,
     child: Option<Child>,
 }
 
-/// A control group whose processes are killed and started by the tests.
+/// A control group whose processes the tests stop, kill and restart.
 pub struct ControlGroup {
     folder: TempDir,
     replicas: Vec<GroupReplica>,
@@ -67,8 +67,8 @@
             let data = folder.path().join(format!("data-{index}"));
             write_settings(&settings, &secret_file, &data, index, &calls, &links);
             GroupReplica {
-                calls: calls[index],
-                folder: data,
+                call_address: calls[index],
+                data_folder: data,
                 settings,
                 child: None,
             }
@@ -85,7 +85,7 @@
         group
     }
 
-    /// Starts a replica's process if it does not run.
+    /// Starts a replica's process if it is not running.
     pub fn restart(&mut self, index: usize) {
         let log_path = self.log_path(index);
         let replica = &mut self.replicas[index];
@@ -107,7 +107,7 @@
         replica.child = Some(child);
     }
 
-    /// Kills a replica's process without warning.
+    /// Sends SIGKILL to a replica's process and waits until it has exited.
     pub fn kill(&mut self, index: usize) {
         if let Some(mut child) = self.replicas[index].child.take() {
             child.kill().expect("own child");
@@ -115,24 +115,27 @@
         }
     }
 
-    /// Stops a replica's process in the planned way.
+    /// Sends SIGTERM to a replica's process and waits for its successful exit.
     pub fn stop(&mut self, index: usize) {
         self.signal(index, "TERM");
         if let Some(mut child) = self.replicas[index].child.take() {
             let status = child.wait().expect("own child");
-            assert!(status.success(), "a planned stop is no failure");
+            assert!(status.success(), "a planned stop exits with success");
         }
     }
 
-    /// Kills a replica and removes all that it had on its disk.
-    pub fn lose_disk(&mut self, index: usize) {
+    /// Kills a replica's process and deletes its data folder.
+    pub fn wipe_disk(&mut self, index: usize) {
         self.kill(index);
-        fs::remove_dir_all(&self.replicas[index].folder).expect("own folder");
+        fs::remove_dir_all(&self.replicas[index].data_folder).expect("own folder");
     }
 
     /// Sends a signal, such as STOP or CONT, to a replica's process.
     pub fn signal(&self, index: usize, name: &str) {
-        let child = self.replicas[index].child.as_ref().expect("it runs");
+        let child = self.replicas[index]
+            .child
+            .as_ref()
+            .expect("a running process");
         let status = Command::new("kill")
             .arg(format!("-{name}"))
             .arg(child.id().to_string())
@@ -142,40 +145,42 @@
 
     /// Returns the call address of a replica.
     pub fn address(&self, index: usize) -> SocketAddrV4 {
-        self.replicas[index].calls
+        self.replicas[index].call_address
     }
 
-    /// Returns a client of some replicas.
+    /// Returns a client of the replicas with these indexes.
     pub fn client(&self, indexes: &[usize]) -> ControlClient {
         let addresses = indexes.iter().map(|index| self.address(*index));
         ControlClient::new(addresses.collect(), self.secret.clone())
     }
 
     /// Returns a client of every replica.
-    pub fn client_of_all(&self) -> ControlClient {
+    pub fn client_for_all(&self) -> ControlClient {
         let indexes: Vec<usize> = (0..self.replicas.len()).collect();
         self.client(&indexes)
     }
 
-    /// Returns how often a numbered event stands in a replica's log.
-    pub fn events(&self, index: usize, number: u16) -> usize {
+    /// Returns how often an event is in a replica's log.
+    pub fn count_events(&self, index: usize, number: u16) -> usize {
         let text = fs::read_to_string(self.log_path(index)).unwrap_or_default();
         let plain = text.replace("\u{1b}[3m", "").replace("\u{1b}[0m", "");
         let plain = plain.replace("\u{1b}[2m", "");
         plain.matches(&format!("event={number} ")).count()
     }
 
-    /// Returns the leader as the group confirms it.
+    /// Returns the index of the leader that the group confirms.
     pub async fn leader(&self) -> usize {
         let status = self.status().await;
         let leads = |role| role == ReplicaRole::Leader;
         let found = status.replicas.iter().find(|replica| leads(replica.role));
-        let address = found.expect("a confirmed status names the leader").address;
-        let place = (0..self.replicas.len()).find(|index| self.address(*index) == address);
-        place.expect("it is one of the group")
+        let address = found
+            .expect("a confirmed status contains the leader")
+            .address;
+        let index = (0..self.replicas.len()).find(|index| self.address(*index) == address);
+        index.expect("the leader is one of the replicas")
     }
 
-    /// Returns what the replicas have logged, for a failed test.
+    /// Returns the logs of all replicas, for the message of a failed test.
     fn logs(&self) -> String {
         (0..self.replicas.len())
             .map(|index| fs::read_to_string(self.log_path(index)).unwrap_or_default())
@@ -183,10 +188,10 @@
             .join("--\n")
     }
 
-    /// Returns a confirmed status, as soon as there is one.
+    /// Waits for a confirmed status and returns it.
     pub async fn status(&self) -> ControlStatus {
-        let client = self.client_of_all();
-        let deadline = Instant::now() + PATIENCE;
+        let client = self.client_for_all();
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             match client.status().await {
                 Ok(status) => return status,
@@ -196,11 +201,11 @@
                     self.logs()
                 ),
             }
-            sleep(LOOK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Asks one replica alone.
+    /// Returns the status that one replica reports.
     pub async fn status_at(&self, index: usize) -> Result<ControlStatus, LinkFault> {
         let address = self.address(index);
         self.client(&[index]).status_at(address).await
@@ -215,7 +220,7 @@
     fn drop(&mut self) {
         for replica in &mut self.replicas {
             if let Some(child) = &mut replica.child {
-                // The process may have ended by itself.
+                // The process may have exited already.
                 let _ = child.kill();
                 let _ = child.wait();
             }
@@ -223,16 +228,16 @@
     }
 }
 
-/// Waits until `look` finds what it looks for.
-pub async fn wait_until(what: &str, mut look: impl FnMut() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
-    while !look() {
+/// Waits until `condition` holds; panics after `WAIT_TIMEOUT`.
+pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
         assert!(Instant::now() < deadline, "never: {what}");
-        sleep(LOOK_PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Returns the manifest of a version; its content differs from any other's.
+/// Returns the manifest of a version; each version has different content.
 pub fn manifest(version: u64) -> Manifest {
     let text = format!(
         r#"{{"version": {version}, "replaces": {}, "services": [
@@ -242,16 +247,16 @@
     serde_json::from_str(&text).expect("a good manifest")
 }
 
-/// Hands a version over until it is accepted.
-pub async fn accept(client: &ControlClient, version: u64) {
-    let deadline = Instant::now() + PATIENCE;
-    while let Err(error) = offer(client, version).await {
+/// Applies a version, retrying until it is accepted.
+pub async fn apply_until_accepted(client: &ControlClient, version: u64) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while let Err(error) = apply_once(client, version).await {
         assert!(Instant::now() < deadline, "version {version}: {error}");
     }
 }
 
-/// Hands a version over once.
-pub async fn offer(client: &ControlClient, version: u64) -> Result<(), ControlClientError> {
+/// Applies a version with one call and checks the receipt.
+pub async fn apply_once(client: &ControlClient, version: u64) -> Result<(), ControlClientError> {
     let manifest = manifest(version);
     let digest = manifest.digest();
     let receipt = client.apply(&ApplyRequest { manifest }).await?;
@@ -259,7 +264,7 @@
     Ok(())
 }
 
-/// Returns an address for each replica.
+/// Returns one address per replica.
 fn addresses(block: &LoopbackBlock, port: u16, count: usize) -> Vec<SocketAddrV4> {
     let hosts = (1..=u8::MAX).take(count);
     hosts.map(|host| block.address(host, port)).collect()
--- a/tests/event_catalogue.rs
+++ b/tests/event_catalogue.rs
@@ -1,4 +1,4 @@
-//! `docs/EVENTS.md` and the code name the same events.
+//! `docs/EVENTS.md` lists exactly the events that the code declares.
 
 use std::{collections::BTreeSet, fs};
 
@@ -20,15 +20,15 @@
                 .join("|")
         })
         .collect();
-    let coded: BTreeSet<String> = event_catalogue()
+    let declared: BTreeSet<String> = event_catalogue()
         .iter()
         .map(|entry| format!("|{}|{}|{}", entry.number, entry.name, entry.message))
         .collect();
-    assert_eq!(listed, coded);
+    assert_eq!(listed, declared);
 }
 
 #[test]
-fn no_number_stands_twice() {
+fn event_numbers_are_unique() {
     let entries = event_catalogue();
     let numbers: BTreeSet<u16> = entries.iter().map(|entry| entry.number).collect();
     assert_eq!(numbers.len(), entries.len());
--- a/tests/flows_survive.rs
+++ b/tests/flows_survive.rs
@@ -1,4 +1,4 @@
-//! Established streams survive what is planned and what fails around them.
+//! Established streams survive planned changes and failures of the site.
 
 mod support;
 
@@ -8,11 +8,11 @@
 };
 use support::{SiteProcess, TestSite, get};
 
-/// The lines that are read after each change.
+/// The number of lines read after each change of the site.
 const LINES_AFTER_CHANGE: u64 = 40;
 
-/// A site with one service, two balancers and a stream that is open.
-struct StreamSite {
+/// A site with one service, two balancers and an open stream.
+struct StreamFixture {
     site: TestSite,
     control: SiteProcess,
     balancers: Vec<SiteProcess>,
@@ -23,7 +23,7 @@
     lines: LineReader,
 }
 
-impl StreamSite {
+impl StreamFixture {
     async fn start() -> Self {
         let site = TestSite::new();
         let control = site.start_control();
@@ -47,14 +47,15 @@
         }
     }
 
-    async fn read_on(&mut self) {
-        if let Err(fault) = self.lines.read(LINES_AFTER_CHANGE).await {
-            panic!("{fault}\n{}", self.site.logs());
+    /// Reads further lines; panics when one is missing.
+    async fn read_more(&mut self) {
+        if let Err(error) = self.lines.read(LINES_AFTER_CHANGE).await {
+            panic!("{error}\n{}", self.site.logs());
         }
     }
 }
 
-/// Reads the numbered lines of a stream and notices gaps.
+/// Reads the numbered lines of a stream and detects gaps.
 struct LineReader {
     stream: AnswerStream,
     pending: String,
@@ -73,15 +74,15 @@
     async fn read(&mut self, count: u64) -> Result<(), String> {
         let end = self.next + count;
         while self.next < end {
-            let part = tokio::time::timeout(support::PATIENCE, self.stream.next_part())
+            let part = tokio::time::timeout(support::WAIT_TIMEOUT, self.stream.next_part())
                 .await
-                .map_err(|_| format!("silent before line {}", self.next))?
+                .map_err(|_| format!("no data before line {}", self.next))?
                 .map_err(|error| format!("cut before line {}: {error}", self.next))?
                 .ok_or_else(|| format!("ended before line {}", self.next))?;
             self.pending.push_str(&String::from_utf8_lossy(&part));
             while let Some((line, rest)) = self.pending.split_once('\n') {
                 if line != format!("camera {}", self.next) {
-                    return Err(format!("line {} came as {line:?}", self.next));
+                    return Err(format!("expected line {}, got {line:?}", self.next));
                 }
                 self.next += 1;
                 let rest = rest.len();
@@ -93,149 +94,154 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_survives_balancers_that_die_restart_and_join() {
-    let mut stream = StreamSite::start().await;
-    stream.read_on().await;
-    stream.balancers[0].kill();
-    stream.fabric.set_balancers(stream.site.listeners(0, &[1]));
-    stream.read_on().await;
-    let restarted = stream.site.start_balancer(0);
-    let joined = stream.site.start_balancer(2);
-    stream
+async fn a_stream_survives_balancers_that_are_killed_restarted_and_added() {
+    let mut fixture = StreamFixture::start().await;
+    fixture.read_more().await;
+    fixture.balancers[0].kill();
+    fixture
         .fabric
-        .set_balancers(stream.site.listeners(0, &[0, 1, 2]));
-    stream.read_on().await;
-    stream.balancers[1].kill();
-    stream
+        .set_balancers(fixture.site.listeners(0, &[1]));
+    fixture.read_more().await;
+    let restarted = fixture.site.start_balancer(0);
+    let joined = fixture.site.start_balancer(2);
+    fixture
         .fabric
-        .set_balancers(stream.site.listeners(0, &[0, 2]));
-    stream.read_on().await;
+        .set_balancers(fixture.site.listeners(0, &[0, 1, 2]));
+    fixture.read_more().await;
+    fixture.balancers[1].kill();
+    fixture
+        .fabric
+        .set_balancers(fixture.site.listeners(0, &[0, 2]));
+    fixture.read_more().await;
     drop((restarted, joined));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_survives_a_balancer_that_falls_silent_unnoticed_by_the_fabric() {
-    let mut stream = StreamSite::start().await;
-    stream.read_on().await;
-    // Answers go by one of the two, so each is frozen in its turn.
+async fn a_stream_survives_a_frozen_balancer_that_the_fabric_still_uses() {
+    let mut fixture = StreamFixture::start().await;
+    fixture.read_more().await;
+    // Responses pass through one of the two, so each is frozen in turn.
     for index in 0..2 {
-        stream.balancers[index].signal("STOP");
-        stream.read_on().await;
-        stream.balancers[index].signal("CONT");
-        stream.read_on().await;
+        fixture.balancers[index].signal("STOP");
+        fixture.read_more().await;
+        fixture.balancers[index].signal("CONT");
+        fixture.read_more().await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_balancer_that_is_told_to_stop_leaves_in_order() {
-    let mut stream = StreamSite::start().await;
-    stream.read_on().await;
+async fn a_stream_survives_planned_stops_of_balancers_that_exit_cleanly() {
+    let mut fixture = StreamFixture::start().await;
+    fixture.read_more().await;
     for index in 0..2 {
         let rest = [1 - u8::try_from(index).expect("0 or 1"), 2];
-        let joined = stream.site.start_balancer(2);
-        stream.balancers[index].signal("TERM");
-        stream.fabric.set_balancers(stream.site.listeners(0, &rest));
-        stream.read_on().await;
-        let left = &mut stream.balancers[index];
-        support::eventually("the balancer ends", async || {
+        let joined = fixture.site.start_balancer(2);
+        fixture.balancers[index].signal("TERM");
+        fixture
+            .fabric
+            .set_balancers(fixture.site.listeners(0, &rest));
+        fixture.read_more().await;
+        let left = &mut fixture.balancers[index];
+        support::eventually("the balancer exits", async || {
             left.try_wait().is_some_and(|status| status.success())
         })
         .await;
-        stream.balancers[index] = stream
+        fixture.balancers[index] = fixture
             .site
             .start_balancer(u8::try_from(index).expect("0 or 1"));
-        stream
+        fixture
             .fabric
-            .set_balancers(stream.site.listeners(0, &[0, 1]));
-        stream.read_on().await;
+            .set_balancers(fixture.site.listeners(0, &[0, 1]));
+        fixture.read_more().await;
         drop(joined);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_survives_a_rotation_of_the_secret() {
-    let mut stream = StreamSite::start().await;
-    stream.read_on().await;
-    // The old epoch stays live for longer than a connection ID, then it goes.
-    stream.site.write_secret(2, &[1, 2]);
-    stream.read_on().await;
-    stream.read_on().await;
-    stream.site.write_secret(2, &[2]);
-    stream.read_on().await;
-    let caller = stream.site.connect(0, "barge-control").await;
+    let mut fixture = StreamFixture::start().await;
+    fixture.read_more().await;
+    // The old epoch is kept for longer than the lifetime of a connection ID.
+    fixture.site.write_secret(2, &[1, 2]);
+    fixture.read_more().await;
+    fixture.read_more().await;
+    fixture.site.write_secret(2, &[2]);
+    fixture.read_more().await;
+    let caller = fixture.site.connect(0, "barge-control").await;
     assert_eq!(get(&caller, "/name").await.body, "camera");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_goes_on_while_control_is_away() {
-    let mut stream = StreamSite::start().await;
-    stream.control.kill();
-    stream.read_on().await;
-    let caller = stream.site.connect(0, "barge-control").await;
+async fn a_stream_and_new_connections_work_while_control_is_down() {
+    let mut fixture = StreamFixture::start().await;
+    fixture.control.kill();
+    fixture.read_more().await;
+    let caller = fixture.site.connect(0, "barge-control").await;
     assert_eq!(get(&caller, "/name").await.body, "camera");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_of_the_agent_cuts_no_stream_and_takes_no_new_one() {
-    let mut stream = StreamSite::start().await;
-    let second = stream.site.start_upstream(1, "camera").await;
-    let _spare = stream
+async fn a_draining_agent_cuts_no_stream_and_accepts_no_new_connection() {
+    let mut fixture = StreamFixture::start().await;
+    let second = fixture.site.start_upstream(1, "camera").await;
+    let _spare = fixture
         .site
         .start_agent(1, "barge-control", second.address());
-    stream.agents[0].signal("TERM");
-    // Twice the two seconds after which nothing new may arrive.
+    fixture.agents[0].signal("TERM");
+    // Twice the two seconds within which the announcement of the drain reaches
+    // every balancer, so that no new connection may arrive.
     tokio::time::sleep(std::time::Duration::from_secs(4)).await;
-    let before = stream.upstreams[0].requests();
+    let before = fixture.upstreams[0].requests();
     for _ in 0..20 {
-        let caller = stream.site.connect(0, "barge-control").await;
+        let caller = fixture.site.connect(0, "barge-control").await;
         get(&caller, "/name").await;
     }
-    assert_eq!(stream.upstreams[0].requests(), before);
+    assert_eq!(fixture.upstreams[0].requests(), before);
     assert_eq!(second.requests(), 20);
-    stream.read_on().await;
+    fixture.read_more().await;
     assert!(
-        stream.agents[0].try_wait().is_none(),
-        "it left before the stream ended"
+        fixture.agents[0].try_wait().is_none(),
+        "the agent exited before the stream ended"
     );
-    drop(stream.lines);
-    let StreamSite { caller, agents, .. } = stream;
+    drop(fixture.lines);
+    let StreamFixture { caller, agents, .. } = fixture;
     let mut agents = agents;
     caller.close().await;
-    support::eventually("the drained agent ends", async || {
+    support::eventually("the drained agent exits", async || {
         agents[0].try_wait().is_some_and(|status| status.success())
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_restarted_agent_tells_the_caller_at_once_that_the_connection_is_gone() {
-    let mut stream = StreamSite::start().await;
-    stream.read_on().await;
-    stream.agents[0].kill();
-    let upstream = stream.upstreams[0].address();
-    stream.agents[0] = stream.site.start_agent(0, "barge-control", upstream);
-    // The caller's keep-alive brings the reset; the idle timeout would end the
-    // connection too, but with another fault.
-    let fault = stream
+async fn a_restarted_agent_resets_connections_it_does_not_know() {
+    let mut fixture = StreamFixture::start().await;
+    fixture.read_more().await;
+    fixture.agents[0].kill();
+    let upstream = fixture.upstreams[0].address();
+    fixture.agents[0] = fixture.site.start_agent(0, "barge-control", upstream);
+    // The response to the caller's keep-alive is the reset. The idle timeout would
+    // also end the connection, but with a different error.
+    let error = fixture
         .lines
         .read(1_000)
         .await
         .expect_err("the connection is gone");
-    assert!(fault.contains("reset"), "{fault}\n{}", stream.site.logs());
+    assert!(error.contains("reset"), "{error}\n{}", fixture.site.logs());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_address_that_another_service_took_over_tells_the_caller_and_serves_nothing() {
-    let mut stream = StreamSite::start().await;
-    stream.read_on().await;
-    stream.agents[0].kill();
-    let logbook = stream.site.start_upstream(1, "logbook").await;
-    stream.agents[0] = stream.site.start_agent(0, "logbook", logbook.address());
-    let fault = stream
+async fn an_agent_of_another_service_at_the_same_address_resets_the_connection() {
+    let mut fixture = StreamFixture::start().await;
+    fixture.read_more().await;
+    fixture.agents[0].kill();
+    let logbook = fixture.site.start_upstream(1, "logbook").await;
+    fixture.agents[0] = fixture.site.start_agent(0, "logbook", logbook.address());
+    let error = fixture
         .lines
         .read(1_000)
         .await
         .expect_err("the connection is gone");
-    assert!(fault.contains("reset"), "{fault}\n{}", stream.site.logs());
+    assert!(error.contains("reset"), "{error}\n{}", fixture.site.logs());
     assert_eq!(logbook.requests(), 0);
 }
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -1,23 +1,23 @@
-//! Loopback addresses that a test keeps while its processes come and go.
+//! Loopback addresses that stay reserved while a test restarts its processes.
 
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
 
-/// The port whose holder owns a block of addresses.
+/// The port that a test binds to reserve a block of addresses.
 const BLOCK_PORT: u16 = 65_000;
-/// The blocks that are tried before a test gives up.
+/// The number of blocks to try before giving up.
 const MOST_BLOCKS: u32 = 50_000;
 
-/// A block of loopback addresses that no other test holds.
+/// A block of loopback addresses that no other test uses.
 ///
-/// A free port of 127.0.0.1 would not do: while a process is down, the system
-/// may give its port to somebody's outgoing connection.
+/// A free port of 127.0.0.1 is not enough: while a process is down, the system
+/// may assign its port to an outgoing connection of another process.
 pub struct LoopbackBlock {
     octets: (u8, u8),
     _reservation: TcpListener,
 }
 
 impl LoopbackBlock {
-    /// Reserves a block until this is dropped.
+    /// Reserves a block until the value is dropped.
     pub fn reserve() -> Self {
         let start = std::process::id();
         for attempt in 0..MOST_BLOCKS {
@@ -31,10 +31,10 @@
                 };
             }
         }
-        panic!("every block of loopback addresses is taken");
+        panic!("every block of loopback addresses is in use");
     }
 
-    /// Returns an address of the block.
+    /// Returns the address of the block with this last octet and port.
     pub fn address(&self, last: u8, port: u16) -> SocketAddrV4 {
         let (high, low) = self.octets;
         SocketAddrV4::new(Ipv4Addr::new(127, high, low, last), port)
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -1,4 +1,5 @@
-//! Requests through the built agents: tickets, kills, drains, deadlines, cuts.
+//! Requests through the built agents: tickets, kills, drains, deadlines and
+//! aborted streams.
 
 mod support;
 
@@ -8,15 +9,15 @@
 use serde_json::Value;
 use support::{
     FabricStandIn, SiteProcess, TestSite, eventually, get,
-    scripted_upstream::{UpstreamCounts, start_upstream},
+    scripted_upstream::{UpstreamCounters, start_upstream},
 };
 
 /// Two agents of one service, each with its upstream, behind one balancer.
 struct AgentPair {
     site: TestSite,
     agents: Vec<SiteProcess>,
-    upstreams: Vec<Arc<UpstreamCounts>>,
-    _rest: (Vec<SiteProcess>, FabricStandIn),
+    upstreams: Vec<Arc<UpstreamCounters>>,
+    _infrastructure: (Vec<SiteProcess>, FabricStandIn),
 }
 
 impl AgentPair {
@@ -37,104 +38,130 @@
             site,
             agents,
             upstreams,
-            _rest: (vec![control, balancer], fabric),
+            _infrastructure: (vec![control, balancer], fabric),
         }
     }
 
-    /// Connects until the agent with this index has accepted.
+    /// Connects repeatedly until the agent with this index accepts.
     async fn connect(&self, index: usize) -> ServiceCaller {
-        let wanted = format!("upstream-{index}");
+        let expected = format!("upstream-{index}");
         for _ in 0..400 {
             let caller = self.site.connect(0, "barge-control").await;
-            if get(&caller, "/name").await.body == wanted {
+            if get(&caller, "/name").await.body == expected {
                 return caller;
             }
-            tokio::time::sleep(support::LOOK_PAUSE).await;
+            tokio::time::sleep(support::POLL_INTERVAL).await;
         }
-        panic!("agent {index} accepts nothing\n{}", self.site.logs());
+        panic!("agent {index} accepts no connection\n{}", self.site.logs());
     }
 
-    fn begun(&self) -> u32 {
-        self.upstreams.iter().map(|upstream| upstream.begun()).sum()
+    fn started(&self) -> u32 {
+        self.upstreams
+            .iter()
+            .map(|upstream| upstream.started())
+            .sum()
     }
 }
 
-fn hold(millis: u64, ticket: &str) -> CallRequest {
+/// Returns a command that runs for `millis` at its upstream.
+fn slow_command(millis: u64, ticket: &str) -> CallRequest {
     CallRequest::new("POST", &format!("/hold/{millis}"))
         .with_ticket(ticket)
         .with_body("feed pen 3")
 }
 
-fn problem(answer: &CallAnswer) -> Value {
-    serde_json::from_slice(&answer.body).unwrap_or_else(|_| panic!("no problem: {answer:?}"))
+fn parse_problem(answer: &CallAnswer) -> Value {
+    serde_json::from_slice(&answer.body)
+        .unwrap_or_else(|_| panic!("not a problem document: {answer:?}"))
 }
 
 async fn fetch_ticket(caller: &ServiceCaller) -> String {
-    let answer = caller.send(hold(0, "none")).await.expect("an answer");
+    let answer = caller
+        .send(slow_command(0, "none"))
+        .await
+        .expect("an answer");
     assert_eq!(answer.status, 428);
-    let problem = problem(&answer);
+    let problem = parse_problem(&answer);
     assert_eq!(problem["not_run"], true);
     problem["ticket"].as_str().expect("a ticket").to_owned()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_command_runs_once_however_often_and_wherever_it_is_sent() {
+async fn a_command_runs_once_however_often_it_is_sent_to_either_agent() {
     let pair = AgentPair::start().await;
     let first = pair.connect(0).await;
     let second = pair.connect(1).await;
     let ticket = fetch_ticket(&first).await;
-    assert_eq!(pair.begun(), 0);
+    assert_eq!(pair.started(), 0);
 
-    let (one, other) = tokio::join!(
-        first.send(hold(300, &ticket)),
-        second.send(hold(300, &ticket))
+    let (first_answer, second_answer) = tokio::join!(
+        first.send(slow_command(300, &ticket)),
+        second.send(slow_command(300, &ticket))
     );
-    for answer in [one.expect("an answer"), other.expect("an answer")] {
+    for answer in [
+        first_answer.expect("an answer"),
+        second_answer.expect("an answer"),
+    ] {
         assert_eq!((answer.status, &answer.body[..]), (200, &b"upstream-0"[..]));
     }
     for caller in [&first, &second] {
-        let again = caller.send(hold(300, &ticket)).await.expect("an answer");
-        assert_eq!((again.status, &again.body[..]), (200, &b"upstream-0"[..]));
+        let repeated = caller
+            .send(slow_command(300, &ticket))
+            .await
+            .expect("an answer");
+        assert_eq!(
+            (repeated.status, &repeated.body[..]),
+            (200, &b"upstream-0"[..])
+        );
     }
-    assert_eq!(pair.begun(), 1);
+    assert_eq!(pair.started(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_command_whose_agent_is_killed_is_unknown_and_runs_no_second_time() {
+async fn a_command_of_a_killed_agent_is_reported_as_unknown_and_not_run_again() {
     let mut pair = AgentPair::start().await;
     let first = pair.connect(0).await;
     let second = pair.connect(1).await;
     let ticket = fetch_ticket(&first).await;
-    let running = hold(60_000, &ticket);
+    let running = slow_command(60_000, &ticket);
     let run = tokio::spawn(async move { first.send(running).await });
     let upstream = Arc::clone(&pair.upstreams[0]);
-    eventually("the command runs", async || upstream.begun() == 1).await;
+    eventually("the command runs", async || upstream.started() == 1).await;
     pair.agents[0].kill();
-    let answer = second.send(hold(60_000, &ticket)).await.expect("an answer");
+    let answer = second
+        .send(slow_command(60_000, &ticket))
+        .await
+        .expect("an answer");
     assert_eq!(answer.status, 502);
-    assert_eq!(problem(&answer)["not_run"], false);
-    assert_eq!(pair.begun(), 1);
+    assert_eq!(parse_problem(&answer)["not_run"], false);
+    assert_eq!(pair.started(), 1);
     run.abort();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_agent_that_leaves_finishes_its_run_and_hands_its_answer_over() {
+async fn a_draining_agent_finishes_its_run_and_hands_over_the_response() {
     let mut pair = AgentPair::start().await;
     let first = pair.connect(0).await;
     let second = pair.connect(1).await;
     let ticket = fetch_ticket(&first).await;
-    let running = hold(1_500, &ticket);
+    let running = slow_command(1_500, &ticket);
     let run = tokio::spawn(async move { first.send(running).await });
     let upstream = Arc::clone(&pair.upstreams[0]);
-    eventually("the command runs", async || upstream.begun() == 1).await;
+    eventually("the command runs", async || upstream.started() == 1).await;
     pair.agents[0].signal("TERM");
-    let answer = run.await.expect("no panic").expect("it is not cut");
+    let answer = run.await.expect("no panic").expect("the stream is not cut");
     assert_eq!((answer.status, &answer.body[..]), (200, &b"upstream-0"[..]));
     let leaving = &mut pair.agents[0];
     eventually("the agent exits", async || leaving.try_wait().is_some()).await;
-    let again = second.send(hold(1_500, &ticket)).await.expect("an answer");
-    assert_eq!((again.status, &again.body[..]), (200, &b"upstream-0"[..]));
-    assert_eq!(pair.begun(), 1);
+    let repeated = second
+        .send(slow_command(1_500, &ticket))
+        .await
+        .expect("an answer");
+    assert_eq!(
+        (repeated.status, &repeated.body[..]),
+        (200, &b"upstream-0"[..])
+    );
+    assert_eq!(pair.started(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -152,30 +179,33 @@
     .await;
 
     let cut = caller.send(CallRequest::new("GET", "/cut")).await;
-    assert!(cut.is_err(), "a cut body never looks whole: {cut:?}");
+    assert!(cut.is_err(), "a cut body must not look complete: {cut:?}");
 
     let malformed = CallRequest::new("GET", "/name").with_header("x-deadline-millis", "soon");
     let answer = caller.send(malformed).await.expect("an answer");
     assert_eq!(answer.status, 400);
 
     let leaving = pair.connect(0).await;
-    let begun = upstream.begun();
+    let started = upstream.started();
     let running = tokio::spawn(async move {
         let request = CallRequest::new("GET", "/hold/60000");
         let answer = tokio::time::timeout(Duration::from_secs(2), leaving.send(request)).await;
-        assert!(answer.is_err(), "it runs for longer");
+        assert!(answer.is_err(), "the request runs for longer");
         leaving.close().await;
     });
-    eventually("the request runs", async || upstream.begun() == begun + 1).await;
+    eventually("the request runs", async || {
+        upstream.started() == started + 1
+    })
+    .await;
     running.await.expect("no panic");
-    eventually("the departure reaches the upstream", async || {
+    eventually("the closed connection reaches the upstream", async || {
         upstream.dropped() == 2
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_burst_on_one_connection_fills_both_targets_and_no_fifth_slot() {
+async fn a_burst_on_one_connection_uses_both_targets_within_their_four_slots() {
     let pair = AgentPair::start().await;
     let caller = Arc::new(pair.connect(0).await);
     drop(pair.connect(1).await);
@@ -198,8 +228,8 @@
         "{answers:?}"
     );
     for upstream in &pair.upstreams {
-        assert!(upstream.most() <= 4, "{} at once", upstream.most());
-        assert!(upstream.begun() >= 6, "{} of 24", upstream.begun());
+        assert!(upstream.peak() <= 4, "{} at once", upstream.peak());
+        assert!(upstream.started() >= 6, "{} of 24", upstream.started());
     }
-    assert_eq!(pair.begun(), 24);
+    assert_eq!(pair.started(), 24);
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A small site of the built binaries, for tests that kill processes.
+//! A small site of processes of the built binaries, which tests can kill.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 #[path = "../loopback/mod.rs"]
 mod loopback;
@@ -34,23 +34,23 @@
 
 use loopback::LoopbackBlock;
 
-/// How long a test waits for a state before it fails.
-pub const PATIENCE: Duration = Duration::from_secs(60);
-/// The pause between two looks at a state.
-pub const LOOK_PAUSE: Duration = Duration::from_millis(50);
+/// The longest wait for an expected state.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// The interval between two checks of a state.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// The failure domains of the site.
 pub const DOMAINS: [&str; 3] = ["fjord-a", "fjord-b", "sund"];
 /// The port of the first service; the second has the next one.
-pub const FIRST_PORT: u16 = 4433;
+pub const FIRST_SERVICE_PORT: u16 = 4433;
 
-/// A process of the site; it is killed when dropped.
+/// A process of the site; killed when dropped.
 pub struct SiteProcess {
     pub name: String,
     child: Child,
 }
 
 impl SiteProcess {
-    /// Sends SIGKILL and waits for the end.
+    /// Sends SIGKILL and waits until the process has exited.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -65,11 +65,11 @@
         let status = Command::new("kill")
             .args([format!("-{signal}"), self.id().to_string()])
             .status()
-            .expect("kill is there");
+            .expect("the program kill");
         assert!(status.success());
     }
 
-    /// Returns whether the process has ended, and how.
+    /// Returns the exit status if the process has exited.
     pub fn try_wait(&mut self) -> Option<std::process::ExitStatus> {
         self.child.try_wait().expect("own child")
     }
@@ -89,7 +89,7 @@
 }
 
 impl TestSite {
-    /// Prepares files and a block of loopback addresses of its own.
+    /// Creates the site's files and reserves a block of loopback addresses.
     pub fn new() -> Self {
         let folder = tempfile::tempdir().expect("a temporary folder");
         let certificate =
@@ -104,7 +104,9 @@
         site
     }
 
-    /// Writes a secret with these epochs; each has the same keys every time.
+    /// Replaces the secret file by one with these epochs.
+    ///
+    /// An epoch always has the same keys.
     pub fn write_secret(&self, active: u8, epochs: &[u8]) {
         let epochs = epochs
             .iter()
@@ -114,10 +116,10 @@
             })
             .collect();
         let text = serde_json::to_string(&DeploymentSecret { active, epochs });
-        let fresh = self.folder.path().join("secret.fresh");
-        fs::write(&fresh, text.expect("plain JSON")).expect("a writable folder");
-        fs::set_permissions(&fresh, fs::Permissions::from_mode(0o600)).expect("own file");
-        fs::rename(&fresh, self.secret_file()).expect("own file");
+        let temporary = self.folder.path().join("secret.fresh");
+        fs::write(&temporary, text.expect("plain JSON")).expect("a writable folder");
+        fs::set_permissions(&temporary, fs::Permissions::from_mode(0o600)).expect("own file");
+        fs::rename(&temporary, self.secret_file()).expect("own file");
     }
 
     pub fn ip(&self, last: u8) -> Ipv4Addr {
@@ -137,7 +139,7 @@
     }
 
     pub fn service_address(&self, index: u16) -> SocketAddrV4 {
-        self.address(1, FIRST_PORT + index)
+        self.address(1, FIRST_SERVICE_PORT + index)
     }
 
     pub fn client(&self) -> ControlClient {
@@ -211,7 +213,7 @@
         self.address(100 + index, 6000)
     }
 
-    /// Starts the agent beside `upstream`.
+    /// Starts the agent of `upstream`.
     pub fn start_agent(&self, index: u8, service: &str, upstream: SocketAddrV4) -> SiteProcess {
         let name = format!("agent-{index}");
         let settings = json!({
@@ -232,7 +234,7 @@
         self.start("cyclamen-agent", path, &name, &settings)
     }
 
-    /// Starts the stand-in upstream of an agent.
+    /// Starts the simulated upstream of the agent with this index.
     pub async fn start_upstream(&self, index: u8, name: &str) -> UpstreamStandIn {
         let address = self.address(100 + index, 8000);
         UpstreamStandIn::start(name, address)
@@ -240,7 +242,7 @@
             .expect("a free address")
     }
 
-    /// Starts the fabric of the service with this index.
+    /// Starts the simulated network fabric of the service with this index.
     pub async fn start_fabric(&self, index: u16, balancers: &[u8]) -> FabricStandIn {
         let service = self.service_address(index);
         FabricStandIn::start(service, self.ip(3), self.listeners(index, balancers))
@@ -248,11 +250,13 @@
             .expect("a free address")
     }
 
-    /// Returns where balancers listen for the service with this index.
+    /// Returns the balancers' listening addresses for the service with this index.
     pub fn listeners(&self, index: u16, balancers: &[u8]) -> Vec<SocketAddrV4> {
         balancers
             .iter()
-            .map(|balancer| SocketAddrV4::new(self.balancer_ip(*balancer), FIRST_PORT + index))
+            .map(|balancer| {
+                SocketAddrV4::new(self.balancer_ip(*balancer), FIRST_SERVICE_PORT + index)
+            })
             .collect()
     }
 
@@ -268,7 +272,7 @@
         serde_json::from_value(text).expect("a good manifest")
     }
 
-    /// Applies a manifest, waiting until control answers.
+    /// Applies a manifest, retrying until control accepts it.
     pub async fn apply(&self, manifest: Manifest) {
         let client = self.client();
         let request = ApplyRequest { manifest };
@@ -282,27 +286,27 @@
         ServerTrust::load(&self.folder.path().join("root.pem")).expect("own root")
     }
 
-    /// Connects to a service, trying until an agent accepts.
+    /// Connects to a service, retrying until an agent accepts.
     pub async fn connect(&self, index: u16, service: &str) -> ServiceCaller {
-        let deadline = tokio::time::Instant::now() + PATIENCE;
+        let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
             let address = self.service_address(index);
             let attempt = ServiceCaller::connect(address, service, self.trust());
-            let fault = match tokio::time::timeout(Duration::from_secs(5), attempt).await {
+            let error = match tokio::time::timeout(Duration::from_secs(5), attempt).await {
                 Ok(Ok(caller)) => return caller,
                 Ok(Err(error)) => error.to_string(),
                 Err(_) => "no answer".to_owned(),
             };
             assert!(
                 tokio::time::Instant::now() < deadline,
-                "{service} is never reached: {fault}\n{}",
+                "{service} was not reached: {error}\n{}",
                 self.logs()
             );
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Returns the ends of all logs, for a failed test.
+    /// Returns the last lines of all logs, for the message of a failed test.
     pub fn logs(&self) -> String {
         let mut text = String::new();
         let Ok(entries) = fs::read_dir(self.folder.path()) else {
@@ -317,8 +321,8 @@
     }
 }
 
-/// Returns what a process offers as metrics; nothing while it does not answer.
-pub async fn read_metrics(address: SocketAddrV4) -> String {
+/// Returns the metrics page of a process, or an empty text if it does not answer.
+pub async fn scrape_metrics(address: SocketAddrV4) -> String {
     let mut text = String::new();
     if let Ok(mut stream) = TcpStream::connect(address).await {
         let request = "GET /metrics HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
@@ -329,16 +333,16 @@
     text
 }
 
-/// Waits until `is_true` holds, and fails after a long while.
-pub async fn eventually(what: &str, mut is_true: impl AsyncFnMut() -> bool) {
-    let deadline = tokio::time::Instant::now() + PATIENCE;
-    while !is_true().await {
+/// Waits until `condition` holds; panics after `WAIT_TIMEOUT`.
+pub async fn eventually(what: &str, mut condition: impl AsyncFnMut() -> bool) {
+    let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
+    while !condition().await {
         assert!(tokio::time::Instant::now() < deadline, "never: {what}");
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Sends a GET and returns the whole answer.
+/// Sends a GET request and returns the complete response.
 pub async fn get(caller: &ServiceCaller, path: &str) -> CallAnswer {
     caller
         .send(CallRequest::new("GET", path))
--- a/tests/support/scripted_upstream.rs
+++ b/tests/support/scripted_upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream whose answers can be slow, cut or counted.
+//! An upstream that can answer slowly, cut its response and count requests.
 
 use std::{
     net::SocketAddrV4,
@@ -14,90 +14,96 @@
     net::{TcpListener, TcpStream},
 };
 
-/// What the upstream saw.
+/// Counts the `/hold/` requests of the upstream.
 #[derive(Debug, Default)]
-pub struct UpstreamCounts {
-    /// Requests that began to run.
-    pub begun: AtomicU32,
-    /// Requests whose connection was dropped while they ran.
+pub struct UpstreamCounters {
+    /// Requests that started.
+    pub started: AtomicU32,
+    /// Requests whose connection was closed while they ran.
     pub dropped: AtomicU32,
-    /// Requests that run now.
+    /// Requests that are running now.
     pub running: AtomicU32,
-    /// The most that ran at once.
-    pub most: AtomicU32,
+    /// The highest number of requests that ran at once.
+    pub peak: AtomicU32,
 }
 
-impl UpstreamCounts {
-    pub fn begun(&self) -> u32 {
-        self.begun.load(Ordering::SeqCst)
+impl UpstreamCounters {
+    pub fn started(&self) -> u32 {
+        self.started.load(Ordering::SeqCst)
     }
 
     pub fn dropped(&self) -> u32 {
         self.dropped.load(Ordering::SeqCst)
     }
 
-    pub fn most(&self) -> u32 {
-        self.most.load(Ordering::SeqCst)
+    pub fn peak(&self) -> u32 {
+        self.peak.load(Ordering::SeqCst)
     }
 }
 
 /// Starts an upstream that serves until the test ends.
 ///
-/// `/name` answers `name`, `/hold/MS` counts a run and answers after a pause,
-/// `/cut` breaks its body off.
-pub async fn start_upstream(name: &str, address: SocketAddrV4) -> Arc<UpstreamCounts> {
+/// `/hold/MS` is counted and answered with `name` after a delay of MS
+/// milliseconds, `/cut` ends before its body is complete, and any other path is
+/// answered with `name`.
+pub async fn start_upstream(name: &str, address: SocketAddrV4) -> Arc<UpstreamCounters> {
     let listener = TcpListener::bind(address).await.expect("a free address");
-    let counts = Arc::new(UpstreamCounts::default());
-    let shared = Arc::clone(&counts);
+    let counters = Arc::new(UpstreamCounters::default());
+    let shared = Arc::clone(&counters);
     let name = name.to_owned();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             tokio::spawn(serve(stream, name.clone(), Arc::clone(&shared)));
         }
     });
-    counts
+    counters
 }
 
-async fn serve(mut stream: TcpStream, name: String, counts: Arc<UpstreamCounts>) {
+async fn serve(mut stream: TcpStream, name: String, counters: Arc<UpstreamCounters>) {
     let Some(path) = read_path(&mut stream).await else {
         return;
     };
     if let Some(millis) = path.strip_prefix("/hold/") {
-        let pause = Duration::from_millis(millis.parse().unwrap_or(0));
-        hold(&mut stream, pause, &name, &counts).await;
+        let delay = Duration::from_millis(millis.parse().unwrap_or(0));
+        respond_after(&mut stream, delay, &name, &counters).await;
     } else if path == "/cut" {
         let head = "HTTP/1.1 200 OK\r\ncontent-length: 1000\r\n\r\nonly this";
         let _ = stream.write_all(head.as_bytes()).await;
     } else {
-        answer(&mut stream, &name).await;
+        respond(&mut stream, &name).await;
     }
 }
 
-async fn hold(stream: &mut TcpStream, pause: Duration, name: &str, counts: &UpstreamCounts) {
-    counts.begun.fetch_add(1, Ordering::SeqCst);
-    let running = counts.running.fetch_add(1, Ordering::SeqCst) + 1;
-    counts.most.fetch_max(running, Ordering::SeqCst);
+async fn respond_after(
+    stream: &mut TcpStream,
+    delay: Duration,
+    name: &str,
+    counters: &UpstreamCounters,
+) {
+    counters.started.fetch_add(1, Ordering::SeqCst);
+    let running = counters.running.fetch_add(1, Ordering::SeqCst) + 1;
+    counters.peak.fetch_max(running, Ordering::SeqCst);
     let mut byte = [0];
     tokio::select! {
-        () = tokio::time::sleep(pause) => {
-            counts.running.fetch_sub(1, Ordering::SeqCst);
-            answer(stream, name).await;
+        () = tokio::time::sleep(delay) => {
+            counters.running.fetch_sub(1, Ordering::SeqCst);
+            respond(stream, name).await;
         }
         _ = stream.read(&mut byte) => {
-            counts.running.fetch_sub(1, Ordering::SeqCst);
-            counts.dropped.fetch_add(1, Ordering::SeqCst);
+            counters.running.fetch_sub(1, Ordering::SeqCst);
+            counters.dropped.fetch_add(1, Ordering::SeqCst);
         }
     }
 }
 
-async fn answer(stream: &mut TcpStream, body: &str) {
+async fn respond(stream: &mut TcpStream, body: &str) {
     let length = body.len();
     let text =
         format!("HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n{body}");
     let _ = stream.write_all(text.as_bytes()).await;
 }
 
-/// Reads the head and the body of a request; returns its path.
+/// Reads one request with its body and returns its path.
 async fn read_path(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     let mut byte = [0];
--- a/tests/thin_path.rs
+++ b/tests/thin_path.rs
@@ -1,13 +1,13 @@
-//! A request to each service comes back whole while every datagram takes its
-//! own way through the balancers.
+//! Requests to each service are answered completely while every datagram takes
+//! a random path through the balancers.
 
 mod support;
 
 use cyclamenrouter::caller::CallRequest;
-use support::{TestSite, eventually, get, read_metrics};
+use support::{TestSite, eventually, get, scrape_metrics};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn each_service_answers_through_randomly_chosen_balancers() {
+async fn each_service_responds_through_randomly_chosen_balancers() {
     let site = TestSite::new();
     let _control = site.start_control();
     site.apply(site.manifest(1)).await;
@@ -34,7 +34,7 @@
         assert_eq!(echo.body, upload);
     }
     assert!(fabrics.iter().all(|fabric| fabric.carried() > 100));
-    let offers = [
+    let expected_series = [
         (
             site.balancer_metrics(0),
             "cyclamen_balancer_packets_total{kind=\"known\"}",
@@ -44,9 +44,9 @@
             "cyclamen_agent_packets_total{kind=\"delivered\"}",
         ),
     ];
-    for (address, series) in offers {
-        eventually("the packets are counted as metrics", async || {
-            let text = read_metrics(address).await;
+    for (address, series) in expected_series {
+        eventually("the metrics count the packets", async || {
+            let text = scrape_metrics(address).await;
             let line = text.lines().find(|line| line.starts_with(series));
             line.is_some_and(|line| !line.ends_with(" 0"))
         })
