--- a/benches/agent.rs
+++ b/benches/agent.rs
@@ -1,12 +1,14 @@
-//! Prints the cost of the agent's decisions as JSON: `cargo bench --bench agent`.
+//! Measures the cost of the agent's decisions: `cargo bench --bench agent`.
+//!
+//! Prints the results as JSON.
 
 use std::process::ExitCode;
 
 use cyclamenrouter::agent::measure_decisions;
 
-/// Rounds of a full run.
+/// The number of rounds of a full run.
 const ROUNDS: u32 = 200_000;
-/// Rounds of a run that only shows that the code works.
+/// The number of rounds with `--short`, which only checks that the code works.
 const SHORT_ROUNDS: u32 = 100;
 
 fn main() -> ExitCode {
--- a/benches/control.rs
+++ b/benches/control.rs
@@ -1,6 +1,7 @@
-//! Measures a control replica over loopback and prints JSON.
+//! Measures a control replica over loopback and prints the results as JSON.
 //!
-//! `CYCLAMEN_BENCH_TARGETS` and `CYCLAMEN_BENCH_WATCHERS` set the sizes.
+//! `CYCLAMEN_BENCH_TARGETS` and `CYCLAMEN_BENCH_WATCHERS` set the number of
+//! targets and watchers.
 
 #[path = "control/byte_proxy.rs"]
 mod byte_proxy;
@@ -21,18 +22,18 @@
     key::FeedRevision,
 };
 use load::{announcement, manifest, watch};
-use process::{ControlProcess, ProcessUse};
+use process::{ControlProcess, ProcessUsage};
 use serde_json::{Value, json};
 use tokio::task::JoinSet;
 
-/// The calls that are in flight at once.
-const CALLS_AT_ONCE: u32 = 32;
-/// The calls of one measurement of bytes.
-const COUNTED_CALLS: u32 = 200;
-/// The heartbeats of the measurement of time.
-const HEARTBEATS: u32 = 50_000;
-/// The changes that a watcher missed.
-const MISSED: u32 = 500;
+/// The number of concurrent calls.
+const CONCURRENT_CALLS: u32 = 32;
+/// The number of calls over which bytes per call are measured.
+const MEASURED_CALLS: u32 = 200;
+/// The number of heartbeats over which time and resource usage are measured.
+const TIMED_HEARTBEATS: u32 = 50_000;
+/// The number of changes that a watcher has to catch up on.
+const MISSED_CHANGES: u32 = 500;
 
 fn main() {
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -45,32 +46,33 @@
 }
 
 async fn measure() -> Value {
-    let targets = size("CYCLAMEN_BENCH_TARGETS", 100_000);
-    let watchers = size("CYCLAMEN_BENCH_WATCHERS", 1_000);
+    let targets = size_from_env("CYCLAMEN_BENCH_TARGETS", 100_000);
+    let watchers = size_from_env("CYCLAMEN_BENCH_WATCHERS", 1_000);
     let process = ControlProcess::start();
     let client = ControlClient::new(vec![process.address], process.secret.clone());
     let proxy = ByteProxy::start(process.address).await;
-    let counted = ControlClient::new(vec![proxy.address], process.secret.clone());
+    let proxied_client = ControlClient::new(vec![proxy.address], process.secret.clone());
     let mut report = json!({ "targets": targets, "watchers": watchers });
-    report["manifest"] = measure_manifests(&process, &proxy, &counted).await;
+    report["manifest"] = measure_manifests(&process, &proxy, &proxied_client).await;
     report["registration"] = measure_registrations(&process, &client, targets).await;
-    report["announce_bytes"] = announce_bytes(&proxy, &counted, targets).await;
-    report["heartbeat"] = measure_heartbeats(&process, &client, &proxy, &counted, targets).await;
-    report["snapshot"] = measure_snapshot(&process, &proxy, &counted).await;
-    report["catch_up"] = measure_catch_up(&client, &proxy, &counted, targets).await;
-    report["idle_poll"] = measure_idle_polls(&process, &client, &proxy, &counted).await;
+    report["announce_bytes"] = measure_announce_bytes(&proxy, &proxied_client, targets).await;
+    report["heartbeat"] =
+        measure_heartbeats(&process, &client, &proxy, &proxied_client, targets).await;
+    report["snapshot"] = measure_snapshot(&process, &proxy, &proxied_client).await;
+    report["catch_up"] = measure_catch_up(&client, &proxy, &proxied_client, targets).await;
+    report["idle_poll"] = measure_idle_polls(&process, &client, &proxy, &proxied_client).await;
     report["fan_out"] = measure_fan_out(&process, &client, targets, watchers).await;
     report["left_targets"] = json!(client.status().await.expect("answered").targets);
     report
 }
 
-fn size(variable: &str, usual: u32) -> u32 {
-    let given = env::var(variable).ok();
-    given.and_then(|text| text.parse().ok()).unwrap_or(usual)
+fn size_from_env(variable: &str, default: u32) -> u32 {
+    let value = env::var(variable).ok();
+    value.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// What the replica used for one of `count` things.
-fn used_each(before: ProcessUse, after: ProcessUse, count: u32) -> Value {
+/// Returns the CPU time and memory that the replica used per item of `count`.
+fn usage_per_item(before: ProcessUsage, after: ProcessUsage, count: u32) -> Value {
     let count = u64::from(count);
     let memory = after.memory_bytes.saturating_sub(before.memory_bytes);
     json!({
@@ -90,9 +92,9 @@
         let request = manifest(version, 1_000 + version);
         client.apply(&request).await.expect("accepted");
         rows.push(json!({
-            "wall_micros": micros(start),
+            "wall_micros": elapsed_micros(start),
             "bytes": proxy.bytes() - bytes,
-            "used": used_each(before, process.usage(), 1),
+            "used": usage_per_item(before, process.usage(), 1),
         }));
     }
     json!({ "services": load::SERVICES, "changes": rows })
@@ -106,12 +108,12 @@
     let (before, start) = (process.usage(), Instant::now());
     announce_range(client, 0..targets, targets, 1).await;
     json!({
-        "wall_micros_each": micros(start) / u64::from(targets),
-        "used_each": used_each(before, process.usage(), targets),
+        "wall_micros_each": elapsed_micros(start) / u64::from(targets),
+        "used_each": usage_per_item(before, process.usage(), targets),
     })
 }
 
-/// Announces targets, some at once, in the order of their numbers.
+/// Announces the targets of `range` with concurrent calls, in index order.
 async fn announce_range(
     client: &ControlClient,
     range: std::ops::Range<u32>,
@@ -120,7 +122,7 @@
 ) {
     let next = std::sync::Arc::new(std::sync::atomic::AtomicU32::new(range.start));
     let mut workers = JoinSet::new();
-    for _ in 0..CALLS_AT_ONCE {
+    for _ in 0..CONCURRENT_CALLS {
         let (client, next, end) = (client.clone(), next.clone(), range.end);
         workers.spawn(async move {
             loop {
@@ -136,20 +138,20 @@
     workers.join_all().await;
 }
 
-async fn announce_bytes(proxy: &ByteProxy, client: &ControlClient, targets: u32) -> Value {
+async fn measure_announce_bytes(proxy: &ByteProxy, client: &ControlClient, targets: u32) -> Value {
     let bytes = proxy.bytes();
-    for index in 0..COUNTED_CALLS {
+    for index in 0..MEASURED_CALLS {
         let request = announcement(index, targets, 1);
         client.announce(&request).await.expect("registered");
     }
-    json!((proxy.bytes() - bytes) / u64::from(COUNTED_CALLS))
+    json!((proxy.bytes() - bytes) / u64::from(MEASURED_CALLS))
 }
 
 async fn measure_heartbeats(
     process: &ControlProcess,
     client: &ControlClient,
     proxy: &ByteProxy,
-    counted: &ControlClient,
+    proxied_client: &ControlClient,
     targets: u32,
 ) -> Value {
     let heartbeat = move |index: u32| {
@@ -160,16 +162,19 @@
         }
     };
     let bytes = proxy.bytes();
-    for index in 0..COUNTED_CALLS {
-        counted.heartbeat(&heartbeat(index)).await.expect("renewed");
+    for index in 0..MEASURED_CALLS {
+        proxied_client
+            .heartbeat(&heartbeat(index))
+            .await
+            .expect("renewed");
     }
-    let bytes = (proxy.bytes() - bytes) / u64::from(COUNTED_CALLS);
+    let bytes = (proxy.bytes() - bytes) / u64::from(MEASURED_CALLS);
     let (before, start) = (process.usage(), Instant::now());
     let mut workers = JoinSet::new();
-    for worker in 0..CALLS_AT_ONCE {
+    for worker in 0..CONCURRENT_CALLS {
         let client = client.clone();
         workers.spawn(async move {
-            for index in (worker..HEARTBEATS).step_by(CALLS_AT_ONCE as usize) {
+            for index in (worker..TIMED_HEARTBEATS).step_by(CONCURRENT_CALLS as usize) {
                 client.heartbeat(&heartbeat(index)).await.expect("renewed");
             }
         });
@@ -177,8 +182,8 @@
     workers.join_all().await;
     json!({
         "bytes": bytes,
-        "wall_micros_each": micros(start) / u64::from(HEARTBEATS),
-        "used_each": used_each(before, process.usage(), HEARTBEATS),
+        "wall_micros_each": elapsed_micros(start) / u64::from(TIMED_HEARTBEATS),
+        "used_each": usage_per_item(before, process.usage(), TIMED_HEARTBEATS),
     })
 }
 
@@ -192,23 +197,23 @@
     assert!(matches!(reply, Ok(FeedReply::Snapshot(_))));
     json!({
         "bytes": proxy.bytes() - bytes,
-        "wall_micros": micros(start),
-        "used": used_each(before, process.usage(), 1),
+        "wall_micros": elapsed_micros(start),
+        "used": usage_per_item(before, process.usage(), 1),
     })
 }
 
 async fn measure_catch_up(
     client: &ControlClient,
     proxy: &ByteProxy,
-    counted: &ControlClient,
+    proxied_client: &ControlClient,
     targets: u32,
 ) -> Value {
-    let behind = client.status().await.expect("answered").revision;
-    announce_range(client, 0..MISSED.min(targets), targets, 2).await;
+    let start_revision = client.status().await.expect("answered").revision;
+    announce_range(client, 0..MISSED_CHANGES.min(targets), targets, 2).await;
     let (bytes, start) = (proxy.bytes(), Instant::now());
-    let (mut in_force, mut replies) = (behind, 0);
+    let (mut in_force, mut replies) = (start_revision, 0);
     loop {
-        let reply = counted.watch(&watch(1, in_force, 0)).await;
+        let reply = proxied_client.watch(&watch(1, in_force, 0)).await;
         match reply.expect("answered") {
             FeedReply::Delta(delta) => in_force = delta.revision,
             FeedReply::Snapshot(snapshot) => in_force = snapshot.revision,
@@ -217,10 +222,10 @@
         replies += 1;
     }
     json!({
-        "missed": in_force.count() - behind.count(),
+        "missed": in_force.count() - start_revision.count(),
         "replies": replies,
         "bytes": proxy.bytes() - bytes,
-        "wall_micros": micros(start),
+        "wall_micros": elapsed_micros(start),
     })
 }
 
@@ -228,17 +233,17 @@
     process: &ControlProcess,
     client: &ControlClient,
     proxy: &ByteProxy,
-    counted: &ControlClient,
+    proxied_client: &ControlClient,
 ) -> Value {
     let revision = client.status().await.expect("answered").revision;
     let bytes = proxy.bytes();
-    for _ in 0..COUNTED_CALLS {
-        counted
+    for _ in 0..MEASURED_CALLS {
+        proxied_client
             .watch(&watch(2, revision, 0))
             .await
             .expect("answered");
     }
-    let bytes = (proxy.bytes() - bytes) / u64::from(COUNTED_CALLS);
+    let bytes = (proxy.bytes() - bytes) / u64::from(MEASURED_CALLS);
     let before = process.usage();
     let polls = 20_000;
     for _ in 0..polls {
@@ -247,7 +252,7 @@
             .await
             .expect("answered");
     }
-    json!({ "bytes": bytes, "used_each": used_each(before, process.usage(), polls) })
+    json!({ "bytes": bytes, "used_each": usage_per_item(before, process.usage(), polls) })
 }
 
 async fn measure_fan_out(
@@ -270,21 +275,21 @@
     let (before, start) = (process.usage(), Instant::now());
     let request = announcement(0, targets, 9);
     client.announce(&request).await.expect("registered");
-    let committed = micros(start);
+    let committed_micros = elapsed_micros(start);
     let mut delays = Vec::new();
-    let mut told = 0;
-    for (at, news) in waiting.join_all().await {
-        delays.push(at.duration_since(start).as_micros());
-        told += u32::from(news);
+    let mut notified = 0;
+    for (arrival, has_delta) in waiting.join_all().await {
+        delays.push(arrival.duration_since(start).as_micros());
+        notified += u32::from(has_delta);
     }
     delays.sort_unstable();
     json!({
-        "told": told,
-        "committed_micros": committed,
+        "told": notified,
+        "committed_micros": committed_micros,
         "median_micros": delays[delays.len() / 2].to_string(),
         "last_micros": delays[delays.len() - 1].to_string(),
-        "waiting_each": used_each(idle, before, watchers),
-        "telling_each": used_each(before, process.usage(), watchers),
+        "waiting_each": usage_per_item(idle, before, watchers),
+        "telling_each": usage_per_item(before, process.usage(), watchers),
     })
 }
 
@@ -298,6 +303,6 @@
     }
 }
 
-fn micros(start: Instant) -> u64 {
+fn elapsed_micros(start: Instant) -> u64 {
     u64::try_from(start.elapsed().as_micros()).unwrap_or(u64::MAX)
 }
--- a/benches/control/byte_proxy.rs
+++ b/benches/control/byte_proxy.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes that pass between a client and a replica.
+//! A TCP proxy that counts the bytes between a client and a replica.
 
 use std::{
     net::{SocketAddr, SocketAddrV4},
@@ -13,37 +13,40 @@
     net::{TcpListener, TcpStream},
 };
 
-/// Forwards TCP connections and counts what passes in either direction.
+/// Forwards TCP connections to a replica and counts the bytes of both directions.
 pub struct ByteProxy {
     pub address: SocketAddrV4,
     bytes: Arc<AtomicU64>,
 }
 
 impl ByteProxy {
-    /// Starts forwarding to `replica`.
+    /// Starts a proxy for `replica` on a free port.
     pub async fn start(replica: SocketAddrV4) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let SocketAddr::V4(address) = listener.local_addr().expect("a bound port") else {
-            panic!("an IPv4 address was asked for");
+            panic!("the listener has no IPv4 address");
         };
         let bytes = Arc::new(AtomicU64::new(0));
         let counted = Arc::clone(&bytes);
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                let Ok(far) = TcpStream::connect(replica).await else {
+            while let Ok((client_stream, _)) = listener.accept().await {
+                let Ok(replica_stream) = TcpStream::connect(replica).await else {
                     continue;
                 };
-                let _ = (near.set_nodelay(true), far.set_nodelay(true));
-                let (near_in, near_out) = near.into_split();
-                let (far_in, far_out) = far.into_split();
-                tokio::spawn(forward(near_in, far_out, Arc::clone(&counted)));
-                tokio::spawn(forward(far_in, near_out, Arc::clone(&counted)));
+                let _ = (
+                    client_stream.set_nodelay(true),
+                    replica_stream.set_nodelay(true),
+                );
+                let (client_read, client_write) = client_stream.into_split();
+                let (replica_read, replica_write) = replica_stream.into_split();
+                tokio::spawn(forward(client_read, replica_write, Arc::clone(&counted)));
+                tokio::spawn(forward(replica_read, client_write, Arc::clone(&counted)));
             }
         });
         Self { address, bytes }
     }
 
-    /// Returns the bytes that passed so far, both directions together.
+    /// Returns the bytes forwarded so far, both directions together.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
--- a/benches/control/load.rs
+++ b/benches/control/load.rs
@@ -1,4 +1,4 @@
-//! Made-up services, targets and watchers.
+//! Synthetic services, targets and watchers.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -10,18 +10,20 @@
     route::TargetPhase,
 };
 
-/// The services of the manifest.
+/// The number of services in the manifest.
 pub const SERVICES: u32 = 12_000;
-/// The failure domains of the targets.
+/// The number of failure domains that targets are spread over.
 const DOMAINS: u32 = 15;
 
-/// Returns a manifest of all services; `deadline` makes contents differ.
+/// Returns a manifest of all services.
+///
+/// `deadline` in milliseconds applies to the first service only.
 pub fn manifest(version: u64, deadline: u64) -> ApplyRequest {
     let services = (0..SERVICES).map(|index| ServiceSpec {
         name: service_name(index),
         address: SocketAddrV4::new(Ipv4Addr::from(0x0a00_0001 + index), 443),
         limits: ServiceLimits::default(),
-        // One service alone changes with each version.
+        // Only one service changes with each version.
         deadline: SpanMillis::new(if index == 0 { deadline } else { 10_000 }),
         retry_percent: 10,
         rules: Vec::new(),
@@ -35,16 +37,16 @@
     }
 }
 
-/// Returns the name of a service.
+/// Returns the name of service `index`.
 pub fn service_name(index: u32) -> String {
     format!("service-{index:05}")
 }
 
-/// Returns the announcement of target `index` of `targets`.
+/// Returns the announcement of target `index` out of `targets`.
 pub fn announcement(index: u32, targets: u32, weight: u16) -> AnnounceRequest {
     let service = u64::from(index) * u64::from(SERVICES) / u64::from(targets);
     let host = Ipv4Addr::from(0x0b00_0001 + index);
-    let place = index % DOMAINS;
+    let domain_index = index % DOMAINS;
     AnnounceRequest {
         service: service_name(u32::try_from(service).expect("below the count")),
         target: TargetKey::new(SocketAddrV4::new(host, 7_000)),
@@ -52,8 +54,8 @@
             0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(u64::from(index) + 1),
         ),
         domain: DomainName::new(
-            &format!("region-{}", place / 3),
-            &format!("domain-{place:02}"),
+            &format!("region-{}", domain_index / 3),
+            &format!("domain-{domain_index:02}"),
         ),
         peer_address: SocketAddrV4::new(host, 7_001),
         weight,
@@ -61,7 +63,9 @@
     }
 }
 
-/// Returns the request of watcher `index` after a revision.
+/// Returns the request of watcher `index` for changes after `in_force`.
+///
+/// `wait` is the longest wait in milliseconds.
 pub fn watch(index: u32, in_force: FeedRevision, wait: u64) -> WatchRequest {
     WatchRequest {
         watcher: WatcherName::Balancer(format!("balancer-{index:05}")),
--- a/benches/control/process.rs
+++ b/benches/control/process.rs
@@ -1,4 +1,4 @@
-//! A control replica as its own process, with its use of the machine.
+//! A control replica in its own process, with its CPU and memory usage.
 
 use std::{
     fs,
@@ -13,12 +13,12 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-/// Clock ticks a second in `/proc`.
-const TICKS_A_SECOND: u64 = 100;
-/// Bytes of a memory page in `/proc`.
+/// The clock ticks per second of `/proc`.
+const TICKS_PER_SECOND: u64 = 100;
+/// The size of a memory page in `/proc`.
 const PAGE_BYTES: u64 = 4_096;
 
-/// A running replica; it is killed when dropped.
+/// A running replica; killed when dropped.
 pub struct ControlProcess {
     child: Child,
     _folder: TempDir,
@@ -26,15 +26,15 @@
     pub secret: SecretStore,
 }
 
-/// What a process has used so far.
+/// The CPU time and resident memory of a process.
 #[derive(Debug, Clone, Copy)]
-pub struct ProcessUse {
+pub struct ProcessUsage {
     pub cpu_micros: u64,
     pub memory_bytes: u64,
 }
 
 impl ControlProcess {
-    /// Starts the built binary on a port of the system's choice.
+    /// Starts the built binary on a port that the operating system chooses.
     pub fn start() -> Self {
         let folder = tempfile::tempdir().expect("a temporary folder");
         let secret = DeploymentSecret::random(1);
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Returns what the process has used so far.
-    pub fn usage(&self) -> ProcessUse {
+    /// Returns the CPU time used so far and the current resident memory.
+    pub fn usage(&self) -> ProcessUsage {
         let folder = format!("/proc/{}", self.child.id());
         let stat = fs::read_to_string(format!("{folder}/stat")).expect("a live process");
         let fields: Vec<&str> = stat
@@ -85,11 +85,14 @@
             .next()
             .map(|rest| rest.split_whitespace().collect())
             .unwrap_or_default();
-        let ticks: u64 = [11, 12].iter().map(|index| number(fields[*index])).sum();
+        let ticks: u64 = [11, 12]
+            .iter()
+            .map(|index| parse_number(fields[*index]))
+            .sum();
         let memory = fs::read_to_string(format!("{folder}/statm")).expect("a live process");
-        let pages = memory.split_whitespace().nth(1).map_or(0, number);
-        ProcessUse {
-            cpu_micros: ticks * 1_000_000 / TICKS_A_SECOND,
+        let pages = memory.split_whitespace().nth(1).map_or(0, parse_number);
+        ProcessUsage {
+            cpu_micros: ticks * 1_000_000 / TICKS_PER_SECOND,
             memory_bytes: pages * PAGE_BYTES,
         }
     }
@@ -102,6 +105,6 @@
     }
 }
 
-fn number(text: &str) -> u64 {
+fn parse_number(text: &str) -> u64 {
     text.parse().unwrap_or(0)
 }
--- a/src/admin/tests/mod.rs
+++ b/src/admin/tests/mod.rs
@@ -31,7 +31,7 @@
         .await
         .expect("a free port");
     let SocketAddr::V4(address) = server.address() else {
-        panic!("listens on IPv4");
+        panic!("the server has no IPv4 address");
     };
     (server, address)
 }
