--- a/src/cli/cli_error.rs
+++ b/src/cli/cli_error.rs
@@ -24,7 +24,7 @@
     Manifest {
         /// The manifest file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why the manifest was rejected.
         #[source]
         cause: ManifestError,
     },
@@ -53,7 +53,7 @@
     Inspect {
         /// The inspection address.
         address: SocketAddrV4,
-        /// What went wrong.
+        /// Why the inspection failed.
         #[source]
         cause: io::Error,
     },
@@ -75,7 +75,7 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system answered.
+        /// The error of the operating system.
         #[source]
         cause: io::Error,
     },
@@ -84,7 +84,7 @@
     Unwritable {
         /// The file or folder.
         path: PathBuf,
-        /// What the system answered.
+        /// The error of the operating system.
         #[source]
         cause: io::Error,
     },
--- a/src/cli/command/inspect_command.rs
+++ b/src/cli/command/inspect_command.rs
@@ -17,7 +17,7 @@
     #[options(help = "print this text")]
     help: bool,
     /// Prints the report as JSON.
-    #[options(no_short, help = "write the report on one line")]
+    #[options(no_short, help = "write the report as JSON")]
     pub(crate) json: bool,
     /// The caller's address and port of the flow to look up.
     #[options(
--- a/src/cli/command/secret_command.rs
+++ b/src/cli/command/secret_command.rs
@@ -131,7 +131,7 @@
 
 /// Fails when the file exists.
 ///
-/// Overwriting a secret in use would lock every process out from the others.
+/// Overwriting a secret in use would break authentication between the processes.
 fn ensure_absent(path: &Path) -> Result<(), CliError> {
     if path.exists() {
         return Err(CliError::Unwritable {
--- a/src/cli/in_force_report.rs
+++ b/src/cli/in_force_report.rs
@@ -11,7 +11,7 @@
 /// Which balancers have a revision in force and which ones lag behind it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub(crate) struct InForceReport {
-    /// The revision that is looked for.
+    /// The revision that the report is about.
     pub(crate) revision: FeedRevision,
     /// Whether there is at least one balancer and all known ones have it in force.
     pub(crate) everywhere: bool,
--- a/tests/flows_survive.rs
+++ b/tests/flows_survive.rs
@@ -103,7 +103,7 @@
         .set_balancers(fixture.site.listeners(0, &[1]));
     fixture.read_more().await;
     let restarted = fixture.site.start_balancer(0);
-    let joined = fixture.site.start_balancer(2);
+    let added = fixture.site.start_balancer(2);
     fixture
         .fabric
         .set_balancers(fixture.site.listeners(0, &[0, 1, 2]));
@@ -113,7 +113,7 @@
         .fabric
         .set_balancers(fixture.site.listeners(0, &[0, 2]));
     fixture.read_more().await;
-    drop((restarted, joined));
+    drop((restarted, added));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -134,16 +134,16 @@
     let mut fixture = StreamFixture::start().await;
     fixture.read_more().await;
     for index in 0..2 {
-        let rest = [1 - u8::try_from(index).expect("0 or 1"), 2];
-        let joined = fixture.site.start_balancer(2);
+        let remaining = [1 - u8::try_from(index).expect("0 or 1"), 2];
+        let added = fixture.site.start_balancer(2);
         fixture.balancers[index].signal("TERM");
         fixture
             .fabric
-            .set_balancers(fixture.site.listeners(0, &rest));
+            .set_balancers(fixture.site.listeners(0, &remaining));
         fixture.read_more().await;
-        let left = &mut fixture.balancers[index];
+        let stopped = &mut fixture.balancers[index];
         support::eventually("the balancer exits", async || {
-            left.try_wait().is_some_and(|status| status.success())
+            stopped.try_wait().is_some_and(|status| status.success())
         })
         .await;
         fixture.balancers[index] = fixture
@@ -153,7 +153,7 @@
             .fabric
             .set_balancers(fixture.site.listeners(0, &[0, 1]));
         fixture.read_more().await;
-        drop(joined);
+        drop(added);
     }
 }
 
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small site of processes of the built binaries, which tests can kill.
+//! A small site that runs the built binaries, for tests that kill processes.
 
 #![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
