--- a/src/cli/command/dump_command.rs
+++ b/src/cli/command/dump_command.rs
@@ -15,7 +15,7 @@
 pub(crate) struct DumpOptions {
     #[options(help = "print this text")]
     help: bool,
-    /// Has no effect: a dump is always JSON.
+    /// Prints errors as JSON too; the dump itself is always JSON.
     #[options(no_short, help = "accepted for scripts; a dump is always JSON")]
     pub(crate) json: bool,
     /// The file with the deployment secret.
