--- a/src/admin/tests/mod.rs
+++ b/src/admin/tests/mod.rs
@@ -10,7 +10,7 @@
 use super::{AdminServer, AdminSource};
 use crate::secret::{DeploymentSecret, SecretStore};
 
-/// Lets the system choose the port.
+/// Lets the operating system choose the port.
 const ANY_PORT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
 
 #[derive(Debug, Clone, Serialize)]
@@ -31,7 +31,7 @@
         .await
         .expect("a free port");
     let SocketAddr::V4(address) = server.address() else {
-        panic!("listens on IPv4");
+        panic!("the server has no IPv4 address");
     };
     (server, address)
 }
--- a/src/control/state/tests/measures.rs
+++ b/src/control/state/tests/measures.rs
@@ -1,6 +1,6 @@
-//! The state's cost at the size that the design is for.
+//! Measures commands and snapshots at the size that the design is for.
 //!
-//! A debug build runs a short form, so that the code keeps working.
+//! A debug build runs with fewer services and targets, as a smoke test.
 
 use std::{net::SocketAddrV4, time::Instant};
 
@@ -26,7 +26,7 @@
     request.manifest.services = (0..SERVICES).map(spec).collect();
     let mut state = ControlState::new();
     let command = ControlCommand::Apply(request.manifest).encode();
-    let command = command.expect("a command has bytes");
+    let command = command.expect("an encodable command");
     let start = Instant::now();
     state.apply(&command);
     println!("manifest: {} bytes, {:?}", command.len(), start.elapsed());
@@ -38,20 +38,20 @@
     let (each, bytes) = (start.elapsed() / TARGETS, commands[0].len());
     println!("announcement: {bytes} bytes, {each:?}");
     let start = Instant::now();
-    let snapshot = state.snapshot().expect("a state has bytes");
+    let snapshot = state.snapshot().expect("an encodable state");
     println!("snapshot: {} bytes, {:?}", snapshot.len(), start.elapsed());
     let start = Instant::now();
-    let restored = ControlState::restore(&snapshot).expect("its own bytes");
+    let restored = ControlState::restore(&snapshot).expect("a valid snapshot");
     println!("restored: {:?}", start.elapsed());
     assert_eq!(restored, state);
 }
 
 fn announce(index: u32) -> Vec<u8> {
     let name = format!("service-{:05}", index % SERVICES);
-    let run = u64::MAX / u64::from(index + 1);
-    let mut request = announcement(&name, 1, run);
+    let incarnation = u64::MAX / u64::from(index + 1);
+    let mut request = announcement(&name, 1, incarnation);
     request.target = TargetKey::new(SocketAddrV4::new((0x0a00_0000 + index).into(), 7_000));
-    request.incarnation = IncarnationId::new(run);
+    request.incarnation = IncarnationId::new(incarnation);
     let command = ControlCommand::Announce(request).encode();
-    command.expect("a command has bytes")
+    command.expect("an encodable command")
 }
--- a/src/fleet/entry_packets.rs
+++ b/src/fleet/entry_packets.rs
@@ -6,7 +6,7 @@
 
 use super::{
     EntryNode, FleetEvent,
-    entry_node::{MAX_PACKET_BYTES, PACKETS_A_TURN},
+    entry_node::{MAX_PACKET_BYTES, PACKETS_PER_TURN},
 };
 use crate::{
     clock::{ClockMillis, SpanMillis},
@@ -15,37 +15,37 @@
 };
 
 impl EntryNode {
-    /// Takes the packets that have arrived, some at a time.
-    pub(super) fn take_packets(&mut self) {
+    /// Handles the packets that have arrived, at most `PACKETS_PER_TURN`.
+    pub(super) fn receive_packets(&mut self) {
         let mut buffer = [0; MAX_PACKET_BYTES];
-        for _ in 0..PACKETS_A_TURN {
-            match self.packets.try_recv_from(&mut buffer) {
-                Ok((length, _)) => self.take_packet(&buffer[..length]),
+        for _ in 0..PACKETS_PER_TURN {
+            match self.packet_socket.try_recv_from(&mut buffer) {
+                Ok((length, _)) => self.handle_packet(&buffer[..length]),
                 Err(_) => return,
             }
         }
     }
 
-    /// Counts a packet of a caller and decides on it.
-    pub(super) fn take_packet(&mut self, bytes: &[u8]) {
+    /// Counts and dispatches a packet of a caller.
+    pub(super) fn handle_packet(&mut self, bytes: &[u8]) {
         self.counters.received += 1;
-        self.decide_packet(bytes, SpanMillis::ZERO);
+        self.dispatch_packet(bytes, SpanMillis::ZERO);
     }
 
-    /// Forwards, refuses or keeps one packet, which arrived `kept` ago.
-    fn decide_packet(&mut self, bytes: &[u8], kept: SpanMillis) {
+    /// Forwards, refuses or parks one packet, which arrived `parked_for` ago.
+    fn dispatch_packet(&mut self, bytes: &[u8], parked_for: SpanMillis) {
         let now = self.clock.now();
         let mut packet = match self.codec.decode(bytes) {
             Ok(packet) => packet,
             Err(fault) => {
                 self.counters.undecodable += 1;
-                if self.budget.allows(FleetEvent::DatagramRefused, now) {
+                if self.log_limiter.allows(FleetEvent::DatagramRefused, now) {
                     log_event!(warn, FleetEvent::DatagramRefused, %fault);
                 }
                 return;
             }
         };
-        packet.age = packet.age.plus(kept);
+        packet.age = packet.age.plus(parked_for);
         match self.flows.take_packet(&packet, bytes, now) {
             FlowVerdict::Forward { to, header } => {
                 self.log_forward(&packet, to, &header, now);
@@ -64,15 +64,15 @@
         }
     }
 
-    /// Decides again on the packets that waited for routes or targets.
-    pub(super) fn take_parked(&mut self) {
-        for (kept, packet) in self.flows.take_parked(self.clock.now()) {
-            self.decide_packet(&packet, kept);
+    /// Dispatches again the packets that were parked for routes or targets.
+    pub(super) fn retry_parked(&mut self) {
+        for (parked_for, packet) in self.flows.take_parked(self.clock.now()) {
+            self.dispatch_packet(&packet, parked_for);
         }
     }
 
-    /// Logs where an opening or a packet without a known owner goes; packets
-    /// of known flows have no line.
+    /// Logs the agent that gets an opening or a packet whose flow has no known
+    /// owner; packets of known flows are not logged.
     pub(super) fn log_forward(
         &mut self,
         packet: &FlowPacket,
@@ -89,7 +89,7 @@
             self.counters.looked += 1;
             FleetEvent::FlowLooked
         };
-        if self.budget.allows(event, now) {
+        if self.log_limiter.allows(event, now) {
             let flow = packet.caller_flow();
             let version = self.flows.table().version();
             let suspects = self.flows.suspects();
@@ -105,7 +105,7 @@
         cause: RefusalCause,
         now: ClockMillis,
     ) {
-        if self.budget.allows(event, now) {
+        if self.log_limiter.allows(event, now) {
             let flow = packet.caller_flow();
             let version = self.flows.table().version();
             tracing::info!(event = event.number(), %flow, ?cause, version, "{}", event.message());
@@ -114,12 +114,12 @@
 
     /// Sends a packet to an agent.
     pub(super) fn forward(&mut self, packet: &[u8], to: Ipv4Addr, header: HopHeader) {
-        header.encode(packet, &mut self.frame);
-        let address = SocketAddrV4::new(to, self.settings.packets.port());
-        // A frame that the kernel does not take is lost, as any may be.
+        header.encode(packet, &mut self.frame_buffer);
+        let address = SocketAddrV4::new(to, self.settings.packet_address.port());
+        // A frame that the kernel refuses counts as lost on the network.
         match self
-            .packets
-            .try_send_to(&self.frame, SocketAddr::V4(address))
+            .packet_socket
+            .try_send_to(&self.frame_buffer, SocketAddr::V4(address))
         {
             Ok(_) => self.counters.forwarded += 1,
             Err(_) => self.counters.unsent += 1,
@@ -128,10 +128,10 @@
 
     /// Sends a reset to a caller.
     pub(super) fn send_to_caller(&mut self, caller: Ipv4Addr, bytes: &[u8]) {
-        let address = SocketAddrV4::new(caller, self.settings.packets.port());
-        // The caller repeats what it gets no answer to.
+        let address = SocketAddrV4::new(caller, self.settings.packet_address.port());
+        // The caller retransmits a packet that gets no answer.
         if self
-            .packets
+            .packet_socket
             .try_send_to(bytes, SocketAddr::V4(address))
             .is_err()
         {
@@ -139,8 +139,9 @@
         }
     }
 
-    /// Takes an agent's report and sends what follows from it.
-    pub(super) fn answer_report(&mut self, report: &FlowReport, now: ClockMillis) {
+    /// Applies an agent's report on a flow and sends the packet that results, if
+    /// any.
+    pub(super) fn handle_report(&mut self, report: &FlowReport, now: ClockMillis) {
         if let Some(waited) = self.flows.opening_age(report.flow, now) {
             histogram!("cyclamen_entry_opening_ms").record(waited.millis_float());
         }
@@ -151,7 +152,7 @@
                 self.counters.ended += 1;
                 let answer = self.codec.encode_reset(&reset);
                 self.send_to_caller(*reset.flow.caller.ip(), &answer);
-                if self.budget.allows(FleetEvent::FlowEnded, now) {
+                if self.log_limiter.allows(FleetEvent::FlowEnded, now) {
                     log_event!(info, FleetEvent::FlowEnded, flow = %reset.flow, targets = self.view.len());
                 }
             }
--- /dev/null
+++ b/src/fleet/group_view.rs
@@ -0,0 +1,96 @@
+use std::{
+    net::{Ipv4Addr, SocketAddrV4},
+    sync::{Arc, Mutex, PoisonError},
+};
+
+use tokio::sync::Notify;
+
+/// The members, leader and seeds of the control group that a process knows;
+/// clones share them.
+#[derive(Debug, Clone)]
+pub(super) struct GroupView {
+    state: Arc<Mutex<GroupState>>,
+    notify: Arc<Notify>,
+}
+
+#[derive(Debug, Default)]
+struct GroupState {
+    seeds: Vec<SocketAddrV4>,
+    members: Vec<Ipv4Addr>,
+    leader: Option<Ipv4Addr>,
+}
+
+impl GroupView {
+    /// Creates the view of a process that knows only the seeds.
+    pub(super) fn new(seeds: Vec<SocketAddrV4>) -> Self {
+        let state = GroupState {
+            seeds,
+            ..GroupState::default()
+        };
+        Self {
+            state: Arc::new(Mutex::new(state)),
+            notify: Arc::default(),
+        }
+    }
+
+    /// Replaces the seeds; returns whether they changed.
+    pub(super) fn set_seeds(&self, seeds: Vec<SocketAddrV4>) -> bool {
+        self.with_state(|state| {
+            let changed = state.seeds != seeds;
+            state.seeds = seeds;
+            changed
+        })
+    }
+
+    /// Replaces the members, and the leader if there is one; an empty list of
+    /// members changes nothing.
+    ///
+    /// Returns whether the members changed.
+    pub(super) fn update_members(&self, members: Vec<Ipv4Addr>, leader: Option<Ipv4Addr>) -> bool {
+        let changed = self.with_state(|state| {
+            if members.is_empty() {
+                return false;
+            }
+            state.leader = leader.or(state.leader);
+            let changed = state.members != members;
+            state.members = members;
+            changed
+        });
+        if changed {
+            self.notify.notify_waiters();
+        }
+        changed
+    }
+
+    /// Waits until the members change.
+    pub(super) async fn members_changed(&self) {
+        self.notify.notified().await;
+    }
+
+    /// Returns the members of the control group.
+    pub(super) fn members(&self) -> Vec<Ipv4Addr> {
+        self.with_state(|state| state.members.clone())
+    }
+
+    /// Returns the last known leader.
+    pub(super) fn leader(&self) -> Option<Ipv4Addr> {
+        self.with_state(|state| state.leader)
+    }
+
+    /// Returns the members and then the seeds that are not among them.
+    pub(super) fn contacts(&self) -> Vec<Ipv4Addr> {
+        self.with_state(|state| {
+            let mut contacts = state.members.clone();
+            for seed in &state.seeds {
+                if !contacts.contains(seed.ip()) {
+                    contacts.push(*seed.ip());
+                }
+            }
+            contacts
+        })
+    }
+
+    fn with_state<T>(&self, access: impl FnOnce(&mut GroupState) -> T) -> T {
+        access(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
+    }
+}
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,26 +1,26 @@
-//! A deployment whose machines find each other from a few seeds.
+//! The processes of a deployment that discover each other from seed addresses.
 //!
-//! Every entry VM runs a balancer; those with a disk also hold a replica of the
-//! control group. An agent runs beside every target. The shells here own
-//! sockets, clocks and tasks; decisions are made in `flow`, `directory`,
-//! `listener` and `control`.
+//! Every entry VM runs a balancer; those with a disk also run a replica of the
+//! control group. An agent runs beside every target. The types here own
+//! sockets, clocks and tasks; `flow`, `directory`, `listener` and `control` make
+//! the decisions.
 
-mod control_seat;
-mod core_view;
-mod directory_file;
 mod entry_handle;
+mod entry_maintenance;
 mod entry_node;
 mod entry_packets;
 mod entry_sockets;
-mod entry_upkeep;
 mod fleet_counters;
 mod fleet_datagram;
 mod fleet_error;
 mod fleet_event;
 mod fleet_settings;
+mod group_view;
 mod inspect_server;
-mod log_budget;
-mod process_recall;
+mod local_replica;
+mod log_limiter;
+mod process_file;
+mod restart_notifier;
 mod settings_source;
 mod side_handle;
 mod side_node;
--- a/src/fleet/side_target.rs
+++ b/src/fleet/side_target.rs
@@ -1,4 +1,4 @@
-//! What an agent does about its target: judging, probing, announcing it.
+//! How an agent assesses, probes and announces its target.
 
 use std::net::Ipv4Addr;
 
@@ -9,7 +9,10 @@
     fleet_counters::publish_gauge,
     fleet_datagram::FleetDatagram,
     side_handle::SideCommand,
-    side_node::{CHANGE_REPEATS, LOST_MILLIS, PROBE_ANSWER_MILLIS, PROBE_MILLIS, REPEAT_MILLIS},
+    side_node::{
+        CHANGE_REPEATS, GROUP_LOST_MILLIS, PROBE_INTERVAL_MILLIS, PROBE_TIMEOUT_MILLIS,
+        REPEAT_INTERVAL_MILLIS,
+    },
     target_tracker::NoticeVerdict,
 };
 use crate::{
@@ -19,12 +22,12 @@
 };
 
 impl SideNode {
-    /// Decides anew whether the target takes flows; returns what balancers
-    /// should know.
-    pub(super) fn judge_target(&mut self, now: ClockMillis) -> TargetStanding {
+    /// Updates whether the target accepts flows, resets the flows that are gone,
+    /// and returns the standing to announce.
+    pub(super) fn refresh_standing(&mut self, now: ClockMillis) -> TargetStanding {
         let target = self.tracker.target();
         let incarnation = self.tracker.incarnation();
-        let gone_before = self.tracker.over_before(now);
+        let gone_before = self.tracker.stale_flows_before(now);
         self.flows.set_slots(self.tracker.slots());
         let resets = self.flows.set_target(target, incarnation, gone_before);
         if !resets.is_empty() {
@@ -43,31 +46,31 @@
         self.tracker.standing(target, suspect || silent, now)
     }
 
-    /// Looks whether anything listens at the target's address; on one VM that
-    /// is decided at once.
+    /// Probes whether anything listens at the target's address; on the same VM a
+    /// connection succeeds or fails at once.
     pub(super) fn probe_target(&mut self, now: ClockMillis) {
-        self.probe_at = now.after(PROBE_MILLIS);
+        self.probe_at = now.after(PROBE_INTERVAL_MILLIS);
         let target = self.settings.target;
         let probes = self.probes.clone();
         tokio::spawn(async move {
             let connect = TcpStream::connect(target);
             let present = matches!(
-                timeout(PROBE_ANSWER_MILLIS.duration(), connect).await,
+                timeout(PROBE_TIMEOUT_MILLIS.duration(), connect).await,
                 Ok(Ok(_))
             );
-            // A process that stops needs no answer.
+            // The receiver is gone when the process is stopping.
             let _ = probes.send(present).await;
         });
     }
 
-    /// Takes the result of a probe.
-    pub(super) fn take_presence(&mut self, present: bool) {
+    /// Applies the result of a probe.
+    pub(super) fn handle_probe_result(&mut self, present: bool) {
         let now = self.clock.now();
-        // What came while the probe was under way is newer.
+        // Packets that arrived during the probe are newer than its result.
         let heard = self
             .flows
             .silence(now)
-            .is_some_and(|silence| silence < PROBE_ANSWER_MILLIS);
+            .is_some_and(|silence| silence < PROBE_TIMEOUT_MILLIS);
         log_event!(info, FleetEvent::TargetProbed, target = %self.settings.target, present, heard);
         if present || !heard {
             self.tracker.note_presence(present, now);
@@ -75,29 +78,29 @@
         self.announce_change(now);
     }
 
-    /// Announces the target if what balancers should know has changed.
+    /// Announces the target if its standing or incarnation has changed.
     pub(super) fn announce_change(&mut self, now: ClockMillis) {
-        let standing = self.judge_target(now);
+        let standing = self.refresh_standing(now);
         if self.announced != Some((standing, self.tracker.incarnation())) {
             self.announce(now);
         }
         self.admit_waiting(now);
     }
 
-    /// Announces the target to the control group.
+    /// Announces the target to the control group, and drops idle flows.
     pub(super) fn announce(&mut self, now: ClockMillis) {
-        let standing = self.judge_target(now);
-        let news = Some((standing, self.tracker.incarnation()));
-        if self.announced != news {
-            self.announced = news;
-            self.repeats = CHANGE_REPEATS;
+        let standing = self.refresh_standing(now);
+        let announced = Some((standing, self.tracker.incarnation()));
+        if self.announced != announced {
+            self.announced = announced;
+            self.repeats_left = CHANGE_REPEATS;
             log_event!(info, FleetEvent::TargetChanged, agent = %self.settings.fleet.address, service = %self.service, ?standing);
         }
-        let pause = if self.repeats > 0 {
-            self.repeats -= 1;
-            REPEAT_MILLIS
-        } else if self.core.members().is_empty() {
-            REPEAT_MILLIS
+        let pause = if self.repeats_left > 0 {
+            self.repeats_left -= 1;
+            REPEAT_INTERVAL_MILLIS
+        } else if self.group.members().is_empty() {
+            REPEAT_INTERVAL_MILLIS
         } else {
             ANNOUNCE_MILLIS
         };
@@ -106,13 +109,14 @@
         let record = TargetRecord {
             agent: self.settings.fleet.address,
             service: self.service,
-            agent_run: self.run,
+            agent_run: self.agent_run,
             sequence: self.sequence,
             target: self.tracker.incarnation(),
             standing,
         };
         for contact in self.contacts(now) {
-            self.fleet.send(contact, &FleetDatagram::Announce(record));
+            self.fleet_socket
+                .send(contact, &FleetDatagram::Announce(record));
         }
         self.flows.sweep(now);
         self.counters.publish();
@@ -122,43 +126,43 @@
         publish_gauge("cyclamen_side_suspect", self.flows.is_suspect().into());
     }
 
-    /// Returns whom to announce to: the control group, and the seeds as well
-    /// while it is not heard.
+    /// Returns the addresses to announce to: the control group, and the seeds as
+    /// well while the group is unknown or silent.
     pub(super) fn contacts(&mut self, now: ClockMillis) -> Vec<Ipv4Addr> {
-        let members = self.core.members();
-        let lost = now.since(self.core_heard_at) >= LOST_MILLIS;
+        let members = self.group.members();
+        let lost = now.since(self.group_heard_at) >= GROUP_LOST_MILLIS;
         if lost {
-            self.reread_settings();
+            self.reread_seeds();
         }
         if members.is_empty() || lost {
-            return self.core.contacts();
+            return self.group.contacts();
         }
         members
     }
 
-    /// Reads the seeds again.
-    pub(super) fn reread_settings(&mut self) {
-        if let Some(seeds) = self.source.seeds()
-            && self.core.set_seeds(seeds.clone())
+    /// Rereads the seeds from the settings.
+    pub(super) fn reread_seeds(&mut self) {
+        if let Some(seeds) = self.settings_source.seeds()
+            && self.group.set_seeds(seeds.clone())
         {
             log_event!(info, FleetEvent::SettingsReread, ?seeds);
         }
     }
 
-    /// Takes a call of the target; it is answered once the agent acts on it.
-    pub(super) fn take_command(&mut self, command: SideCommand) {
+    /// Handles a call of the target; it is answered once the agent has applied it.
+    pub(super) fn handle_command(&mut self, command: SideCommand) {
         let now = self.clock.now();
         let (verdict, answer) = match command {
             SideCommand::Announce { notice, answer } => {
-                let verdict = self.tracker.take(notice.clone(), now);
+                let verdict = self.tracker.apply_notice(notice.clone(), now);
                 if verdict == NoticeVerdict::Taken {
-                    self.hear_target(now);
-                    log_event!(info, FleetEvent::NoticeTaken, id = notice.id, sequence = notice.sequence, state = ?notice.state, warm_in = %notice.warm_in);
+                    self.note_target_heard(now);
+                    log_event!(info, FleetEvent::NoticeTaken, id = notice.id, sequence = notice.sequence, state = ?notice.state, warm_in = %notice.warm_up_left);
                 }
                 (verdict, answer)
             }
             SideCommand::End { id, answer } => {
-                let verdict = self.tracker.end(&id);
+                let verdict = self.tracker.note_ended(&id);
                 log_event!(info, FleetEvent::NoticeTaken, id, state = "ended", ?verdict);
                 (verdict, answer)
             }
@@ -167,12 +171,12 @@
             log_event!(info, FleetEvent::NoticeIgnored, ?verdict);
         }
         self.announce_change(now);
-        // A caller that went away repeats itself.
+        // A target that has disconnected calls again.
         let _ = answer.send(verdict);
     }
 
-    /// Notes that the target answers.
-    pub(super) fn hear_target(&mut self, now: ClockMillis) {
+    /// Clears the suspicion of a target that has announced itself.
+    pub(super) fn note_target_heard(&mut self, now: ClockMillis) {
         if self.flows.hear_target(now) {
             log_event!(info, FleetEvent::TargetHeard, target = %self.settings.target);
             self.announce_change(now);
--- a/src/fleet/watch_client.rs
+++ b/src/fleet/watch_client.rs
@@ -12,91 +12,94 @@
 };
 
 use super::{
-    core_view::CoreView,
-    watch_frame::{WatchNews, WatchPoll, read_frame, write_frame},
-    watch_server::HOLD_MILLIS,
+    group_view::GroupView,
+    watch_frame::{WatchPoll, WatchReply, read_frame, write_frame},
+    watch_server::LONG_POLL_MILLIS,
 };
 use crate::{clock::SpanMillis, directory::DirectoryPlace};
 
-/// How long connecting may take; a VM without power does not answer at all.
-const CONNECT_MILLIS: SpanMillis = SpanMillis::new(250);
-/// How much later than to the one before it each replica is connected to.
-const STAGGER_MILLIS: SpanMillis = SpanMillis::new(20);
-/// How long an answer may take beyond the time that the server holds it.
-const ANSWER_MILLIS: SpanMillis = HOLD_MILLIS.times(2);
-/// The pause before another replica is tried.
-const RETRY_MILLIS: SpanMillis = SpanMillis::new(50);
-/// The shortest time between two polls, while news come in quick succession.
-const SPACING_MILLIS: SpanMillis = SpanMillis::new(20);
+/// How long connecting may take; a VM without power never answers.
+const CONNECT_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(250);
+/// The delay between the connection attempts to successive replicas.
+const CONNECT_STAGGER_MILLIS: SpanMillis = SpanMillis::new(20);
+/// How long a reply may take, which the server may hold for `LONG_POLL_MILLIS`.
+const REPLY_TIMEOUT_MILLIS: SpanMillis = LONG_POLL_MILLIS.times(2);
+/// The pause before the replicas are tried again, and between polls while the
+/// directory has not settled.
+const RETRY_PAUSE_MILLIS: SpanMillis = SpanMillis::new(50);
+/// The pause between polls; it bounds their rate while changes come in quick
+/// succession.
+const MIN_POLL_SPACING_MILLIS: SpanMillis = SpanMillis::new(20);
 
-/// An update of the watch for the balancer.
+/// An update of the watch client for the balancer.
 #[derive(Debug)]
 pub(super) enum WatchUpdate {
-    /// A replica answered; the place says how far its directory is followed.
-    News(Box<WatchNews>),
-    /// The replica that was followed is lost.
+    /// A replica answered a poll.
+    Reply(Box<WatchReply>),
+    /// The watched replica failed.
     Lost {
         /// The replica.
         replica: Ipv4Addr,
-        /// What went wrong.
+        /// The kind of error.
         cause: io::ErrorKind,
     },
 }
 
-/// Follows the routes and the directory of one replica at a time.
+/// Watches the routes and the directory of one replica at a time.
 #[derive(Debug)]
 pub(super) struct WatchClient {
-    own: Ipv4Addr,
+    own_address: Ipv4Addr,
     port: u16,
-    core: CoreView,
+    group: GroupView,
     updates: mpsc::Sender<WatchUpdate>,
-    version: u64,
-    place: DirectoryPlace,
+    routes_version: u64,
+    position: DirectoryPlace,
 }
 
 impl WatchClient {
-    /// Creates a client that reports to `updates`.
+    /// Creates a client that sends its updates to `updates`.
     pub(super) fn new(
-        own: Ipv4Addr,
+        own_address: Ipv4Addr,
         port: u16,
-        core: CoreView,
+        group: GroupView,
         updates: mpsc::Sender<WatchUpdate>,
     ) -> Self {
         Self {
-            own,
+            own_address,
             port,
-            core,
+            group,
             updates,
-            version: 0,
-            place: DirectoryPlace::default(),
+            routes_version: 0,
+            position: DirectoryPlace::default(),
         }
     }
 
-    /// Follows one replica after the other until nobody listens.
+    /// Watches one replica after the other until `updates` is closed.
     pub(super) async fn run(mut self) {
         while !self.updates.is_closed() {
             let mut untried = self.candidates();
             while let Some((replica, stream)) = self.connect_any(&untried).await {
-                // The cause matters only to the next attempt, which is made at once.
+                // After any error the next replica is tried at once.
                 if self.follow(replica, stream).await.is_ok() {
                     return;
                 }
                 untried.retain(|candidate| *candidate != replica);
             }
-            sleep(RETRY_MILLIS.duration()).await;
+            sleep(RETRY_PAUSE_MILLIS.duration()).await;
         }
     }
 
-    /// Returns whom to follow: this VM's replica first, then any other.
+    /// Returns the replicas to try: this VM's first, then the others in random
+    /// order.
     fn candidates(&self) -> Vec<Ipv4Addr> {
-        let mut members = self.core.contacts();
-        members.shuffle(&mut rand::rng());
-        members.sort_by_key(|member| *member != self.own);
-        members
+        let mut contacts = self.group.contacts();
+        contacts.shuffle(&mut rand::rng());
+        contacts.sort_by_key(|contact| *contact != self.own_address);
+        contacts
     }
 
-    /// Connects to the first of the replicas that answers; returns `None` if none
-    /// does, or other replicas were found meanwhile.
+    /// Connects to the first replica that answers; `None` if none does, or if the
+    /// members of the group changed meanwhile.
     async fn connect_any(&self, replicas: &[Ipv4Addr]) -> Option<(Ipv4Addr, TcpStream)> {
         let mut attempts = JoinSet::new();
         let mut delay = SpanMillis::ZERO;
@@ -105,10 +108,10 @@
             attempts.spawn(async move {
                 sleep(delay.duration()).await;
                 let connect = TcpStream::connect(address);
-                let stream = timeout(CONNECT_MILLIS.duration(), connect).await;
+                let stream = timeout(CONNECT_TIMEOUT_MILLIS.duration(), connect).await;
                 Some((replica, stream.ok()?.ok()?))
             });
-            delay = delay.plus(STAGGER_MILLIS);
+            delay = delay.plus(CONNECT_STAGGER_MILLIS);
         }
         loop {
             tokio::select! {
@@ -117,65 +120,65 @@
                         return Some(connected);
                     }
                 }
-                // Others are worth trying now.
-                () = self.core.changed() => return None,
+                // The new members are tried instead.
+                () = self.group.members_changed() => return None,
             }
         }
     }
 
-    /// Follows a replica until it fails or no longer hears a leader; succeeds
-    /// when nobody listens any more.
+    /// Watches a replica until it fails or is no longer caught up; succeeds when
+    /// `updates` is closed.
     async fn follow(&mut self, replica: Ipv4Addr, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         loop {
-            let news = match self.poll(&mut stream).await {
-                Ok(news) => news,
+            let reply = match self.poll(&mut stream).await {
+                Ok(reply) => reply,
                 Err(error) => {
-                    // A full queue will be told by the next loss.
+                    // If the queue is full, the next loss is reported instead.
                     let cause = error.kind();
                     let _ = self.updates.try_send(WatchUpdate::Lost { replica, cause });
                     return Err(error);
                 }
             };
-            if let Some(routes) = &news.routes {
-                self.version = routes.version;
+            if let Some(routes) = &reply.routes {
+                self.routes_version = routes.version;
             }
-            if let Some(targets) = &news.targets {
-                self.place = if targets.settled {
+            if let Some(targets) = &reply.targets {
+                self.position = if targets.settled {
                     targets.place
                 } else {
                     DirectoryPlace::default()
                 };
             }
-            let current = news.current;
-            let unsettled = self.place == DirectoryPlace::default();
+            let caught_up = reply.caught_up;
+            let unsettled = self.position == DirectoryPlace::default();
             if self
                 .updates
-                .send(WatchUpdate::News(Box::new(news)))
+                .send(WatchUpdate::Reply(Box::new(reply)))
                 .await
                 .is_err()
             {
                 return Ok(());
             }
-            if !current {
+            if !caught_up {
                 return Err(io::ErrorKind::NotConnected.into());
             }
             let pause = if unsettled {
-                RETRY_MILLIS
+                RETRY_PAUSE_MILLIS
             } else {
-                SPACING_MILLIS
+                MIN_POLL_SPACING_MILLIS
             };
             sleep(pause.duration()).await;
         }
     }
 
-    async fn poll(&self, stream: &mut TcpStream) -> io::Result<WatchNews> {
+    async fn poll(&self, stream: &mut TcpStream) -> io::Result<WatchReply> {
         let poll = WatchPoll {
-            watcher: self.own,
-            version: self.version,
-            place: self.place,
+            watcher: self.own_address,
+            routes_version: self.routes_version,
+            position: self.position,
         };
-        write_frame(stream, &poll, ANSWER_MILLIS.duration()).await?;
-        read_frame(stream, ANSWER_MILLIS.duration()).await
+        write_frame(stream, &poll, REPLY_TIMEOUT_MILLIS.duration()).await?;
+        read_frame(stream, REPLY_TIMEOUT_MILLIS.duration()).await
     }
 }
