--- a/src/agent/node/agent_dump.rs
+++ b/src/agent/node/agent_dump.rs
@@ -7,7 +7,7 @@
         admission::{AdmissionCounts, AgentPhase, TargetLoad},
         drain::DrainReport,
         endpoint::TunnelCounts,
-        relay::DeskCounts,
+        relay::RequestCounts,
     },
     key::{DomainName, IncarnationId},
 };
@@ -36,7 +36,7 @@
     /// How far a planned stop has come.
     pub(crate) drain: Option<DrainReport>,
     /// Slots, queue, tickets and retries.
-    pub(crate) requests: DeskCounts,
+    pub(crate) requests: RequestCounts,
     /// How new connections were decided on.
     pub(crate) admission: AdmissionCounts,
     /// The balancers that answers go by, with whether each answers.
--- a/src/agent/node/agent_node.rs
+++ b/src/agent/node/agent_node.rs
@@ -9,8 +9,8 @@
 };
 
 use super::{
-    AgentDump, AgentError, DrainActor, DrainDuty, DrainOrder, DrainQuery, LeaseKeeper, OpenGauge,
-    withdraw_target,
+    AgentDump, AgentError, DrainActor, DrainDuty, DrainOrder, DrainQuery, LeaseKeeper,
+    OpenWorkGauge, withdraw_target,
 };
 use crate::{
     agent::{
@@ -21,7 +21,9 @@
             LoadGauge, PEER_INBOX, PeerDatagram, RefusalDesk, TargetIdentity, TunnelSocket,
             open_endpoint,
         },
-        relay::{PeerExchange, PeerServer, RequestDesk, ServeContext, serve_connection},
+        relay::{
+            ConnectionContext, PeerExchange, PeerServer, RequestCoordinator, serve_connection,
+        },
     },
     clock::{ClockMillis, SpanMillis},
     control::{
@@ -53,8 +55,8 @@
     socket: Arc<TunnelSocket>,
     endpoint: Endpoint,
     gauge: Arc<LoadGauge>,
-    open: Arc<OpenGauge>,
-    desk: Arc<RequestDesk>,
+    open: Arc<OpenWorkGauge>,
+    coordinator: Arc<RequestCoordinator>,
     state: Arc<WatchState>,
     drain: ActorRef<DrainActor>,
     exit: watch::Receiver<bool>,
@@ -92,9 +94,9 @@
         let gauge = Arc::new(LoadGauge::new(ServiceLimits::default()));
         let (inbox, peer_datagrams) = mpsc::channel(PEER_INBOX);
         let socket = open_socket(io, identity, &secret, &gauge, inbox);
-        let open = OpenGauge::new();
+        let open = OpenWorkGauge::new();
         let state = WatchState::new();
-        let desk = RequestDesk::new(
+        let coordinator = RequestCoordinator::new(
             identity,
             initial_spec(settings),
             settings.upstream,
@@ -102,7 +104,7 @@
             Arc::clone(&state),
             (Arc::clone(&socket), Arc::clone(&gauge), Arc::clone(&open)),
         );
-        let peers = PeerServer::bind(settings.peer_listen, Arc::clone(&desk)).await?;
+        let peers = PeerServer::bind(settings.peer_listen, Arc::clone(&coordinator)).await?;
         let endpoint = open_endpoint(
             Arc::clone(&socket),
             secret,
@@ -114,7 +116,7 @@
         let drain = DrainActor::spawn(DrainActor::new(DrainDuty {
             socket: Arc::clone(&socket),
             endpoint: endpoint.clone(),
-            desk: Arc::clone(&desk),
+            coordinator: Arc::clone(&coordinator),
             phase,
             go_away,
             exit,
@@ -127,7 +129,7 @@
             endpoint,
             gauge,
             open,
-            desk: Arc::clone(&desk),
+            coordinator: Arc::clone(&coordinator),
             state,
             drain,
             exit: exit_seen,
@@ -135,8 +137,8 @@
             announcement,
             tasks: JoinSet::new(),
         };
-        let context = Arc::new(ServeContext {
-            desk,
+        let context = Arc::new(ConnectionContext {
+            coordinator,
             go_away: go_away_seen,
         });
         log_event!(info, AgentEvent::Started, name = settings.name, domain = %settings.domain);
@@ -147,7 +149,7 @@
     }
 
     /// Starts the tasks that serve callers.
-    fn with_service_tasks(mut self, context: Arc<ServeContext>) -> Self {
+    fn with_service_tasks(mut self, context: Arc<ConnectionContext>) -> Self {
         self.tasks.spawn(accept_connections(
             self.endpoint.clone(),
             Arc::clone(&self.socket),
@@ -158,7 +160,7 @@
             endpoint: self.endpoint.clone(),
             gauge: Arc::clone(&self.gauge),
             open: Arc::clone(&self.open),
-            desk: Arc::clone(&self.desk),
+            coordinator: Arc::clone(&self.coordinator),
             state: Arc::clone(&self.state),
             drain: self.drain.clone(),
         };
@@ -172,7 +174,7 @@
         peers: Arc<PeerServer>,
         datagrams: mpsc::Receiver<PeerDatagram>,
     ) -> Self {
-        let exchange = PeerExchange::new(Arc::clone(&self.desk), datagrams);
+        let exchange = PeerExchange::new(Arc::clone(&self.coordinator), datagrams);
         self.tasks.spawn(peers.run());
         self.tasks.spawn(exchange.run());
         self
@@ -247,7 +249,7 @@
             phase: self.socket.phase(),
             load: self.gauge.read(),
             drain: self.drain_report().await,
-            requests: self.desk.counts(),
+            requests: self.coordinator.counts(),
             admission: self.socket.admission(),
             balancers: self.socket.list_paths(),
             tunnel: self.socket.counters().read(),
@@ -305,7 +307,7 @@
 async fn accept_connections(
     endpoint: Endpoint,
     socket: Arc<TunnelSocket>,
-    context: Arc<ServeContext>,
+    context: Arc<ConnectionContext>,
 ) {
     let refusals = RefusalDesk::new();
     while let Some(incoming) = endpoint.accept().await {
@@ -340,8 +342,8 @@
     socket: Arc<TunnelSocket>,
     endpoint: Endpoint,
     gauge: Arc<LoadGauge>,
-    open: Arc<OpenGauge>,
-    desk: Arc<RequestDesk>,
+    open: Arc<OpenWorkGauge>,
+    coordinator: Arc<RequestCoordinator>,
     state: Arc<WatchState>,
     drain: ActorRef<DrainActor>,
 }
@@ -368,7 +370,7 @@
         if let Some(pool) = table.pool(number) {
             let spec = &pool.route().spec;
             self.gauge.set_limits(spec.limits);
-            self.desk.set_service(spec);
+            self.coordinator.set_service(spec);
             self.socket
                 .keep_peers(|peer| table.target(number, peer).is_some());
         }
--- a/src/agent/node/drain_actor.rs
+++ b/src/agent/node/drain_actor.rs
@@ -10,7 +10,7 @@
         admission::AgentPhase,
         drain::{DrainAction, DrainEvent, DrainMachine, DrainReport},
         endpoint::TunnelSocket,
-        relay::{RequestDesk, hand_over_tickets},
+        relay::{RequestCoordinator, hand_over_tickets},
     },
     event::log_event,
     route::TargetPhase,
@@ -27,7 +27,7 @@
     /// Where open connections end.
     pub(crate) endpoint: Endpoint,
     /// Where requests are decided on.
-    pub(crate) desk: Arc<RequestDesk>,
+    pub(crate) coordinator: Arc<RequestCoordinator>,
     /// The phase that the lease keeper announces.
     pub(crate) phase: watch::Sender<TargetPhase>,
     /// Counts the announcements of leaving to open connections.
@@ -72,11 +72,11 @@
             }
             DrainAction::HandOverTickets => {
                 log_event!(info, AgentEvent::Drained);
-                hand_over_tickets(&self.duty.desk).await;
+                hand_over_tickets(&self.duty.coordinator).await;
             }
             DrainAction::CutOpenWork => {
                 log_event!(warn, AgentEvent::WorkCut);
-                self.duty.desk.cut();
+                self.duty.coordinator.cut();
                 self.duty
                     .endpoint
                     .close(NO_ERROR, b"stopped on the operator's word");
--- a/src/agent/node/mod.rs
+++ b/src/agent/node/mod.rs
@@ -5,7 +5,7 @@
 mod agent_node;
 mod drain_actor;
 mod lease_keeper;
-mod open_gauge;
+mod open_work_gauge;
 
 pub use agent_dump::AgentDump;
 pub use agent_error::AgentError;
@@ -13,4 +13,4 @@
 
 pub(crate) use drain_actor::{DrainActor, DrainDuty, DrainOrder, DrainQuery};
 pub(crate) use lease_keeper::{LeaseKeeper, withdraw_target};
-pub(crate) use open_gauge::{OpenGauge, OpenGuard, OpenKind};
+pub(crate) use open_work_gauge::{OpenWorkGauge, OpenWorkGuard, OpenWorkKind};
--- a/src/agent/node/open_gauge.rs
+++ b/src/agent/node/open_work_gauge.rs
@@ -7,7 +7,7 @@
 
 /// What kind of work is open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum OpenKind {
+pub(crate) enum OpenWorkKind {
     /// A request that holds a slot.
     Running,
     /// A request that waits for one.
@@ -20,7 +20,7 @@
 
 /// Counts the work that is open at this agent.
 #[derive(Debug, Default)]
-pub(crate) struct OpenGauge {
+pub(crate) struct OpenWorkGauge {
     running: AtomicU32,
     waiting: AtomicU32,
     streams: AtomicU32,
@@ -29,21 +29,21 @@
 
 /// One piece of open work; it is counted until this is dropped.
 #[derive(Debug)]
-pub(crate) struct OpenGuard {
-    gauge: Arc<OpenGauge>,
-    kind: OpenKind,
+pub(crate) struct OpenWorkGuard {
+    gauge: Arc<OpenWorkGauge>,
+    kind: OpenWorkKind,
 }
 
-impl OpenGauge {
+impl OpenWorkGauge {
     /// Creates a gauge at zero.
     pub(crate) fn new() -> Arc<Self> {
         Arc::new(Self::default())
     }
 
     /// Counts one piece of work until the guard is dropped.
-    pub(crate) fn open(self: &Arc<Self>, kind: OpenKind) -> OpenGuard {
+    pub(crate) fn track(self: &Arc<Self>, kind: OpenWorkKind) -> OpenWorkGuard {
         self.counter(kind).fetch_add(1, Ordering::Relaxed);
-        OpenGuard {
+        OpenWorkGuard {
             gauge: Arc::clone(self),
             kind,
         }
@@ -53,24 +53,24 @@
     pub(crate) fn read(&self) -> OpenWork {
         let read = |kind| self.counter(kind).load(Ordering::Relaxed);
         OpenWork {
-            running: read(OpenKind::Running),
-            waiting: read(OpenKind::Waiting),
-            streams: read(OpenKind::Stream),
-            relayed: read(OpenKind::Relayed),
+            running: read(OpenWorkKind::Running),
+            waiting: read(OpenWorkKind::Waiting),
+            streams: read(OpenWorkKind::Stream),
+            relayed: read(OpenWorkKind::Relayed),
         }
     }
 
-    fn counter(&self, kind: OpenKind) -> &AtomicU32 {
+    fn counter(&self, kind: OpenWorkKind) -> &AtomicU32 {
         match kind {
-            OpenKind::Running => &self.running,
-            OpenKind::Waiting => &self.waiting,
-            OpenKind::Stream => &self.streams,
-            OpenKind::Relayed => &self.relayed,
+            OpenWorkKind::Running => &self.running,
+            OpenWorkKind::Waiting => &self.waiting,
+            OpenWorkKind::Stream => &self.streams,
+            OpenWorkKind::Relayed => &self.relayed,
         }
     }
 }
 
-impl Drop for OpenGuard {
+impl Drop for OpenWorkGuard {
     fn drop(&mut self) {
         self.gauge
             .counter(self.kind)
--- a/src/agent/relay/answer_collector.rs
+++ b/src/agent/relay/answer_collector.rs
@@ -3,10 +3,10 @@
 
 use crate::agent::ticket::{KeptHeader, KeptOutcome, RunOutcome};
 
-/// The longest body that is kept for callers that ask again, in bytes.
-const MOST_KEPT_BYTES: usize = 64 * 1024;
+/// The longest body that is stored for resent requests, in bytes.
+const MAX_KEPT_BYTES: usize = 64 * 1024;
 
-/// Collects the answer of a run under a ticket.
+/// Buffers the answer of a run under a ticket, to replay it to resends.
 #[derive(Debug)]
 pub(super) struct AnswerCollector {
     status: u16,
@@ -15,7 +15,7 @@
 }
 
 impl AnswerCollector {
-    /// Begins with the head of the answer.
+    /// Starts with the head of the answer.
     pub(super) fn new(status: StatusCode, headers: &HeaderMap) -> Self {
         let headers = headers
             .iter()
@@ -31,19 +31,19 @@
         }
     }
 
-    /// Adds a part of the body, unless it is too long by now.
+    /// Appends a part of the body; discards the body once it exceeds the limit.
     pub(super) fn push(&mut self, part: &Bytes) {
         let Some(body) = &mut self.body else {
             return;
         };
-        if body.len() + part.len() > MOST_KEPT_BYTES {
+        if body.len() + part.len() > MAX_KEPT_BYTES {
             self.body = None;
         } else {
             body.extend_from_slice(part);
         }
     }
 
-    /// Returns the outcome of a run whose answer came to its end.
+    /// Returns the outcome of a run whose answer is complete.
     pub(super) fn finish(self) -> RunOutcome {
         match self.body {
             Some(body) => RunOutcome::Finished(KeptOutcome {
--- a/src/agent/relay/answer_sink.rs
+++ b/src/agent/relay/answer_sink.rs
@@ -11,39 +11,39 @@
     ticket::KeptOutcome,
 };
 
-/// The type of a final answer's body (RFC 9457).
+/// The content type of a final answer (RFC 9457).
 const PROBLEM_TYPE: HeaderValue = HeaderValue::from_static("application/problem+json");
 
-/// The caller's side of a request is gone.
+/// The caller or peer no longer reads the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the caller takes no answer any more")]
+#[error("the caller no longer reads the answer")]
 pub(super) struct SinkError;
 
-/// The answer was cut short on purpose.
+/// The answer was aborted before its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the answer was cut")]
-pub(super) struct AnswerCut;
+#[error("the answer was aborted")]
+pub(super) struct AnswerAborted;
 
-/// A part of an answer to a peer, or the cut of it.
-pub(super) type PeerPart = Result<Frame<Bytes>, AnswerCut>;
+/// A frame of an answer's body to a peer, or its abort.
+pub(super) type PeerBodyPart = Result<Frame<Bytes>, AnswerAborted>;
 
 /// Where the answer of a request goes.
 ///
-/// Dropping it before the end breaks the answer off: an answer that is not
-/// whole never looks finished.
+/// Dropping it before the end aborts the answer, so that an incomplete one
+/// never looks complete.
 pub(super) struct AnswerSink {
-    line: SinkLine,
-    ended: bool,
+    transport: SinkTransport,
+    finished: bool,
 }
 
-/// What the answer is sent over.
-enum SinkLine {
-    /// A stream of HTTP/3 to a caller.
+/// The transport of an answer.
+enum SinkTransport {
+    /// An HTTP/3 stream to a caller.
     Caller(Box<RequestStream<h3_quinn::SendStream<Bytes>, Bytes>>),
-    /// An answer of HTTP/1.1 to another agent.
+    /// An HTTP/1.1 response to another agent.
     Peer {
         head: Option<oneshot::Sender<Response<()>>>,
-        body: mpsc::Sender<PeerPart>,
+        body: mpsc::Sender<PeerBodyPart>,
     },
 }
 
@@ -51,25 +51,30 @@
     /// Sends the answer to a caller.
     pub(super) fn caller(stream: RequestStream<h3_quinn::SendStream<Bytes>, Bytes>) -> Self {
         Self {
-            line: SinkLine::Caller(Box::new(stream)),
-            ended: false,
+            transport: SinkTransport::Caller(Box::new(stream)),
+            finished: false,
         }
     }
 
     /// Sends the answer to another agent.
-    pub(super) fn peer(head: oneshot::Sender<Response<()>>, body: mpsc::Sender<PeerPart>) -> Self {
+    pub(super) fn peer(
+        head: oneshot::Sender<Response<()>>,
+        body: mpsc::Sender<PeerBodyPart>,
+    ) -> Self {
         let head = Some(head);
         Self {
-            line: SinkLine::Peer { head, body },
-            ended: false,
+            transport: SinkTransport::Peer { head, body },
+            finished: false,
         }
     }
 
     /// Sends the head of the answer.
     pub(super) async fn send_head(&mut self, response: Response<()>) -> Result<(), SinkError> {
-        match &mut self.line {
-            SinkLine::Caller(stream) => stream.send_response(response).await.map_err(|_| SinkError),
-            SinkLine::Peer { head, .. } => {
+        match &mut self.transport {
+            SinkTransport::Caller(stream) => {
+                stream.send_response(response).await.map_err(|_| SinkError)
+            }
+            SinkTransport::Peer { head, .. } => {
                 let head = head.take().ok_or(SinkError)?;
                 head.send(response).map_err(|_| SinkError)
             }
@@ -78,30 +83,30 @@
 
     /// Sends a part of the body.
     pub(super) async fn send_data(&mut self, data: Bytes) -> Result<(), SinkError> {
-        match &mut self.line {
-            SinkLine::Caller(stream) => stream.send_data(data).await.map_err(|_| SinkError),
-            SinkLine::Peer { body, .. } => {
+        match &mut self.transport {
+            SinkTransport::Caller(stream) => stream.send_data(data).await.map_err(|_| SinkError),
+            SinkTransport::Peer { body, .. } => {
                 let part = Ok(Frame::data(data));
                 body.send(part).await.map_err(|_| SinkError)
             }
         }
     }
 
-    /// Ends the answer: all of it was sent.
+    /// Ends a complete answer.
     pub(super) async fn finish(mut self) {
-        if let SinkLine::Caller(stream) = &mut self.line {
-            // A caller that is gone misses nothing.
+        if let SinkTransport::Caller(stream) = &mut self.transport {
+            // An error here only means that the caller is gone.
             let _ = stream.finish().await;
         }
-        self.ended = true;
+        self.finished = true;
     }
 
-    /// Breaks the answer off, so that it never looks finished.
+    /// Aborts the answer; the drop resets the stream.
     pub(super) fn reset(self) {
         drop(self);
     }
 
-    /// Gives a final answer of the agent itself; `ticket` is a fresh one.
+    /// Sends an answer that the agent generated, with a fresh `ticket` if given.
     pub(super) async fn send_final(self, answer: &FinalAnswer, ticket: Option<String>) {
         let mut problem = answer.problem();
         if let Some(ticket) = ticket {
@@ -116,13 +121,13 @@
         if let Some(seconds) = answer.retry_after_seconds() {
             headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
         }
-        if let SinkLine::Peer { .. } = self.line {
-            headers.insert(FINAL_HEADER, final_mark(answer));
+        if let SinkTransport::Peer { .. } = self.transport {
+            headers.insert(FINAL_HEADER, final_header(answer));
         }
-        self.send_whole(response, body).await;
+        self.send_complete(response, body).await;
     }
 
-    /// Gives the kept answer of a run that has ended.
+    /// Replays the stored answer of a run that has ended.
     pub(super) async fn send_kept(self, outcome: &KeptOutcome) {
         let mut response = Response::new(());
         *response.status_mut() = StatusCode::from_u16(outcome.status).unwrap_or(StatusCode::OK);
@@ -134,10 +139,10 @@
             }
         }
         let body = Bytes::copy_from_slice(&outcome.body);
-        self.send_whole(response, body).await;
+        self.send_complete(response, body).await;
     }
 
-    async fn send_whole(mut self, response: Response<()>, body: Bytes) {
+    async fn send_complete(mut self, response: Response<()>, body: Bytes) {
         if self.send_head(response).await.is_err() {
             return;
         }
@@ -149,13 +154,14 @@
 
 impl Drop for AnswerSink {
     fn drop(&mut self) {
-        if self.ended {
+        if self.finished {
             return;
         }
-        match &mut self.line {
-            SinkLine::Caller(stream) => stream.stop_stream(Code::H3_INTERNAL_ERROR),
-            SinkLine::Peer { body, .. } => {
-                if let Err(mpsc::error::TrySendError::Full(cut)) = body.try_send(Err(AnswerCut)) {
+        match &mut self.transport {
+            SinkTransport::Caller(stream) => stream.stop_stream(Code::H3_INTERNAL_ERROR),
+            SinkTransport::Peer { body, .. } => {
+                if let Err(mpsc::error::TrySendError::Full(cut)) = body.try_send(Err(AnswerAborted))
+                {
                     let body = body.clone();
                     tokio::spawn(async move { body.send(cut).await });
                 }
@@ -164,8 +170,8 @@
     }
 }
 
-/// Tells a peer what the final answer says, without its body being read.
-fn final_mark(answer: &FinalAnswer) -> HeaderValue {
+/// Returns the header by which a peer reads the run state without the body.
+fn final_header(answer: &FinalAnswer) -> HeaderValue {
     if let FinalAnswer::NotRun {
         cause: NotRunCause::GrantLost,
         ..
--- a/src/agent/relay/caller_watch.rs
+++ b/src/agent/relay/caller_watch.rs
@@ -2,85 +2,88 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-use super::answer_sink::PeerPart;
+use super::answer_sink::PeerBodyPart;
 use crate::agent::request::CallerDeparture;
 
-/// Notices that a caller went away.
+/// Detects that a caller disconnects or cancels its request.
 pub(super) struct CallerWatch {
-    line: CallerLine,
-    cancelled: Option<oneshot::Receiver<()>>,
-    gone: bool,
+    connection: CallerConnection,
+    cancellation: Option<oneshot::Receiver<()>>,
+    departed: bool,
 }
 
-/// What a caller is connected by.
-enum CallerLine {
+/// The connection to a caller.
+enum CallerConnection {
     Quic(quinn::Connection),
-    Peer(mpsc::Sender<PeerPart>),
+    Peer(mpsc::Sender<PeerBodyPart>),
 }
 
 impl CallerWatch {
-    /// Watches a caller; `cancelled` tells that it broke its request off.
-    pub(super) fn caller(connection: quinn::Connection, cancelled: oneshot::Receiver<()>) -> Self {
+    /// Watches a caller; `cancellation` fires when it cancels its request.
+    pub(super) fn caller(
+        connection: quinn::Connection,
+        cancellation: oneshot::Receiver<()>,
+    ) -> Self {
         Self {
-            line: CallerLine::Quic(connection),
-            cancelled: Some(cancelled),
-            gone: false,
+            connection: CallerConnection::Quic(connection),
+            cancellation: Some(cancellation),
+            departed: false,
         }
     }
 
     /// Watches another agent that relayed a request.
-    pub(super) fn peer(body: mpsc::Sender<PeerPart>) -> Self {
+    pub(super) fn peer(body: mpsc::Sender<PeerBodyPart>) -> Self {
         Self {
-            line: CallerLine::Peer(body),
-            cancelled: None,
-            gone: false,
+            connection: CallerConnection::Peer(body),
+            cancellation: None,
+            departed: false,
         }
     }
 
-    /// Waits until the caller goes away; it is told once.
-    pub(super) async fn left(&mut self) -> CallerDeparture {
-        if self.gone {
+    /// Waits until the caller departs; pends forever once that was reported.
+    pub(super) async fn await_departure(&mut self) -> CallerDeparture {
+        if self.departed {
             return pending().await;
         }
         let departure = tokio::select! {
-            () = line_lost(&self.line) => CallerDeparture::Lost,
-            () = stream_cancelled(&mut self.cancelled) => CallerDeparture::Cancelled,
+            () = connection_lost(&self.connection) => CallerDeparture::Lost,
+            () = stream_cancelled(&mut self.cancellation) => CallerDeparture::Cancelled,
         };
-        self.gone = true;
+        self.departed = true;
         departure
     }
 
-    /// Notes a departure that was noticed elsewhere.
-    pub(super) fn set_gone(&mut self) {
-        self.gone = true;
+    /// Records a departure that was detected elsewhere.
+    pub(super) fn mark_departed(&mut self) {
+        self.departed = true;
     }
 
-    /// Tells how a caller went whose stream takes no answer any more.
+    /// Returns how a caller departed whose stream rejected the answer.
     pub(super) fn departure(&self) -> CallerDeparture {
-        match &self.line {
-            CallerLine::Quic(connection) if connection.close_reason().is_none() => {
+        match &self.connection {
+            CallerConnection::Quic(connection) if connection.close_reason().is_none() => {
                 CallerDeparture::Cancelled
             }
-            CallerLine::Quic(_) | CallerLine::Peer(_) => CallerDeparture::Lost,
+            CallerConnection::Quic(_) | CallerConnection::Peer(_) => CallerDeparture::Lost,
         }
     }
 }
 
-async fn line_lost(line: &CallerLine) {
-    match line {
-        CallerLine::Quic(connection) => {
+async fn connection_lost(connection: &CallerConnection) {
+    match connection {
+        CallerConnection::Quic(connection) => {
             connection.closed().await;
         }
-        CallerLine::Peer(body) => body.closed().await,
+        CallerConnection::Peer(body) => body.closed().await,
     }
 }
 
-async fn stream_cancelled(cancelled: &mut Option<oneshot::Receiver<()>>) {
-    if let Some(receiver) = cancelled
+async fn stream_cancelled(cancellation: &mut Option<oneshot::Receiver<()>>) {
+    if let Some(receiver) = cancellation
         && receiver.await.is_ok()
     {
         return;
     }
-    *cancelled = None;
+    *cancellation = None;
     pending::<()>().await;
 }
--- a/src/agent/relay/connection_server.rs
+++ b/src/agent/relay/connection_server.rs
@@ -5,26 +5,30 @@
 use tokio::sync::{oneshot, watch};
 
 use super::{
-    AnswerSink, BodySource, CallerWatch, IncomingRequest, PeerHead, RequestDesk, serve_request,
+    AnswerSink, BodySource, CallerWatch, IncomingRequest, PeerHead, RequestCoordinator,
+    serve_request,
 };
 use crate::{agent::AgentEvent, clock::SpanMillis, event::log_event};
 
-/// The time that refusals have to reach the caller before this end closes.
-const LATECOMER_MILLIS: SpanMillis = SpanMillis::new(500);
-/// How often requests that came late are looked for.
-const LATECOMER_ROUNDS: u32 = 2;
+/// How long refusals have to reach the caller before the connection closes.
+const LATE_REQUEST_MILLIS: SpanMillis = SpanMillis::new(500);
+/// How many times the server checks for requests sent before the GOAWAY arrived.
+const LATE_REQUEST_ROUNDS: u32 = 2;
 
-/// What every connection's requests share.
+/// State shared by all connections.
 #[derive(Debug)]
-pub(crate) struct ServeContext {
-    /// Holds slots, tickets and retries.
-    pub(crate) desk: Arc<RequestDesk>,
-    /// Changes when open connections are to bring no new requests.
+pub(crate) struct ConnectionContext {
+    /// Manages slots, tickets and retries.
+    pub(crate) coordinator: Arc<RequestCoordinator>,
+    /// Changes when open connections must send a GOAWAY.
     pub(crate) go_away: watch::Receiver<u32>,
 }
 
 /// Serves the requests of one connection until it ends.
-pub(crate) async fn serve_connection(connection: quinn::Connection, context: Arc<ServeContext>) {
+pub(crate) async fn serve_connection(
+    connection: quinn::Connection,
+    context: Arc<ConnectionContext>,
+) {
     if let Err(error) = serve_requests(connection, context).await
         && !error.is_h3_no_error()
     {
@@ -34,7 +38,7 @@
 
 async fn serve_requests(
     connection: quinn::Connection,
-    context: Arc<ServeContext>,
+    context: Arc<ConnectionContext>,
 ) -> Result<(), ConnectionError> {
     let transport = h3_quinn::Connection::new(connection.clone());
     let mut server = h3::server::Connection::<_, Bytes>::new(transport).await?;
@@ -43,31 +47,31 @@
         tokio::select! {
             accepted = server.accept() => {
                 let Some(resolver) = accepted? else {
-                    refuse_latecomers(&mut server, &connection).await;
+                    refuse_late_requests(&mut server, &connection).await;
                     return Ok(());
                 };
-                let desk = Arc::clone(&context.desk);
-                tokio::spawn(resolve_request(resolver, connection.clone(), desk));
+                let coordinator = Arc::clone(&context.coordinator);
+                tokio::spawn(resolve_request(resolver, connection.clone(), coordinator));
             }
             Ok(()) = go_away.changed() => server.shutdown(0).await?,
         }
     }
 }
 
-/// Refuses what was on its way when this end announced to leave.
+/// Refuses requests that were in flight when the GOAWAY was sent.
 ///
 /// Closing at once would overtake the refusals, and the caller could not
 /// tell that its request did not run.
-async fn refuse_latecomers(
+async fn refuse_late_requests(
     server: &mut h3::server::Connection<h3_quinn::Connection, Bytes>,
     connection: &quinn::Connection,
 ) {
-    for _ in 0..LATECOMER_ROUNDS {
+    for _ in 0..LATE_REQUEST_ROUNDS {
         tokio::select! {
             _ = connection.closed() => return,
-            () = tokio::time::sleep(LATECOMER_MILLIS.duration()) => {}
+            () = tokio::time::sleep(LATE_REQUEST_MILLIS.duration()) => {}
         }
-        // Streams above the announced one are refused within.
+        // `accept` refuses streams above the ID that the GOAWAY named.
         if !matches!(server.accept().await, Ok(None)) {
             return;
         }
@@ -77,9 +81,9 @@
 async fn resolve_request(
     resolver: RequestResolver<h3_quinn::Connection, Bytes>,
     connection: quinn::Connection,
-    desk: Arc<RequestDesk>,
+    coordinator: Arc<RequestCoordinator>,
 ) {
-    // A request whose head never arrives whole, or whose caller is gone.
+    // Fails if the head is incomplete or the caller is gone.
     let Ok((request, stream)) = resolver.resolve_request().await else {
         return;
     };
@@ -97,5 +101,5 @@
         watch: CallerWatch::caller(connection, cancellation),
         purpose: None,
     };
-    serve_request(incoming, desk).await;
+    serve_request(incoming, coordinator).await;
 }
--- a/src/agent/relay/desk_state.rs
+++ b/src/agent/relay/coordinator_state.rs
@@ -2,7 +2,7 @@
 use slotmap::SecondaryMap;
 use tokio::sync::oneshot;
 
-use super::WaitEnd;
+use super::WaitOutcome;
 use crate::{
     agent::{
         claim::{AgentIdentity, PeerView, SlotBroker},
@@ -16,66 +16,66 @@
     manifest::ServiceSpec,
 };
 
-/// What the requests of an agent share under one lock.
+/// State that the requests of an agent share under one lock.
 #[derive(Debug)]
-pub(super) struct DeskState {
+pub(super) struct CoordinatorState {
     pub(super) broker: SlotBroker,
-    pub(super) waiters: SecondaryMap<WaiterKey, oneshot::Sender<WaitEnd>>,
-    pub(super) runs: SecondaryMap<RunKey, oneshot::Sender<CallerDeparture>>,
+    pub(super) waiters: SecondaryMap<WaiterKey, oneshot::Sender<WaitOutcome>>,
+    pub(super) run_watchers: SecondaryMap<RunKey, oneshot::Sender<CallerDeparture>>,
     pub(super) ledger: TicketLedger,
-    pub(super) heirs: HeirStore,
+    pub(super) handovers: HeirStore,
     pub(super) budget: RetryBudget,
     pub(super) streams: OpenCount,
     pub(super) peers: Vec<PeerView>,
 }
 
-/// What the desk holds, for a dump.
+/// Counts of the coordinator's state, for a dump.
 #[derive(Debug, Clone, Copy, Serialize)]
-pub(crate) struct DeskCounts {
-    /// The slots and the queue.
+pub(crate) struct RequestCounts {
+    /// Requests that run or wait.
     pub(crate) queue: QueueCounts,
-    /// Own requests that have claims at peers.
+    /// Local requests with claims at peers.
     pub(crate) own_claims: usize,
-    /// Claims of peers.
+    /// Claims of peers at this agent.
     pub(crate) peer_claims: usize,
     /// Open streams that hold no slot.
     pub(crate) streams: u32,
-    /// Streams that were refused.
+    /// Streams refused at the limit.
     pub(crate) streams_refused: u64,
-    /// The tickets.
+    /// Tickets in the ledger.
     pub(crate) tickets: LedgerCounts,
-    /// Ledgers of peers that have left.
+    /// Ledgers handed over by peers that have left.
     pub(crate) inherited: usize,
     /// Recent requests and retries.
     pub(crate) retries: RetryCounts,
 }
 
-impl DeskState {
+impl CoordinatorState {
     pub(super) fn new(own: AgentIdentity, service: ServiceNumber, spec: &ServiceSpec) -> Self {
         let limits = LedgerLimits::DEFAULT;
         Self {
             broker: SlotBroker::new(own, SlotLimits::new(spec)),
             waiters: SecondaryMap::new(),
-            runs: SecondaryMap::new(),
+            run_watchers: SecondaryMap::new(),
             ledger: TicketLedger::new(own.target, service, own.incarnation, limits),
-            heirs: HeirStore::default(),
+            handovers: HeirStore::default(),
             budget: RetryBudget::new(spec.retry_percent),
             streams: OpenCount::new(spec.limits.connections),
             peers: Vec::new(),
         }
     }
 
-    /// Returns what is held at `now`.
-    pub(super) fn counts(&self, now: ClockMillis) -> DeskCounts {
+    /// Returns the counts at `now`.
+    pub(super) fn counts(&self, now: ClockMillis) -> RequestCounts {
         let (own_claims, peer_claims) = self.broker.claims();
-        DeskCounts {
+        RequestCounts {
             queue: self.broker.counts(),
             own_claims,
             peer_claims,
             streams: self.streams.count(),
             streams_refused: self.streams.refused(),
             tickets: self.ledger.counts(),
-            inherited: self.heirs.len(),
+            inherited: self.handovers.len(),
             retries: self.budget.counts(now),
         }
     }
--- a/src/agent/relay/ticket_desk.rs
+++ b/src/agent/relay/coordinator_tickets.rs
@@ -1,6 +1,6 @@
 use tokio::sync::oneshot;
 
-use super::RequestDesk;
+use super::RequestCoordinator;
 use crate::agent::{
     outcome::{FinalAnswer, RunState},
     request::CallerDeparture,
@@ -9,44 +9,46 @@
     },
 };
 
-impl RequestDesk {
-    /// Decides on a request that carries an idempotency key.
-    pub(super) fn present(&self, text: &str, print: RequestFingerprint) -> TicketVerdict {
+impl RequestCoordinator {
+    /// Looks up the idempotency key `text` of a request in the ticket ledgers.
+    pub(super) fn present(&self, text: &str, fingerprint: RequestFingerprint) -> TicketVerdict {
         let now = self.now();
         let keys = self.secret().keys();
         let mut state = self.lock();
-        match state.ledger.present(text, &keys, print, now) {
+        match state.ledger.present(text, &keys, fingerprint, now) {
             TicketVerdict::Relay(ticket) => state
-                .heirs
-                .present(ticket, print, now)
+                .handovers
+                .present(ticket, fingerprint, now)
                 .unwrap_or(TicketVerdict::Relay(ticket)),
             verdict => verdict,
         }
     }
 
-    /// Registers the one run under a ticket; it is told when nobody waits.
+    /// Registers a ticket's run; the receiver fires when its last caller leaves.
     pub(super) fn watch_run(&self, run: RunKey) -> oneshot::Receiver<CallerDeparture> {
         let (sender, receiver) = oneshot::channel();
-        self.lock().runs.insert(run, sender);
+        self.lock().run_watchers.insert(run, sender);
         receiver
     }
 
-    /// Records how the one run under a ticket ended, and wakes who waits.
+    /// Records the outcome of a ticket's run and wakes the requests waiting for it.
     pub(super) fn settle(&self, run: RunKey, outcome: RunOutcome) {
         let now = self.now();
         let mut state = self.lock();
-        state.runs.remove(run);
+        state.run_watchers.remove(run);
         state.ledger.settle(run, outcome, now);
         drop(state);
         self.wake_waiters();
     }
 
-    /// Returns how a run that was waited for has ended; nothing while it runs.
+    /// Returns the outcome of a run, or `None` while it is in progress.
     pub(super) fn outcome(&self, run: RunKey) -> Option<TicketVerdict> {
         self.lock().ledger.outcome(run)
     }
 
-    /// Counts one caller of the own run less.
+    /// Detaches the caller whose request executes the run.
+    ///
+    /// Returns `OthersWait` instead of `departure` if other callers wait for it.
     pub(super) fn detach_runner(&self, run: RunKey, departure: CallerDeparture) -> CallerDeparture {
         match self.lock().ledger.detach(run) {
             DetachVerdict::OthersWait => CallerDeparture::OthersWait,
@@ -54,18 +56,18 @@
         }
     }
 
-    /// Counts one waiting caller less; the run is told if it was the last.
+    /// Detaches a waiting caller; signals the run if it was the last one.
     pub(super) fn detach_waiter(&self, run: RunKey, departure: CallerDeparture) {
         let mut state = self.lock();
         if state.ledger.detach(run) == DetachVerdict::NobodyWaits
-            && let Some(sender) = state.runs.remove(run)
+            && let Some(sender) = state.run_watchers.remove(run)
         {
-            // The run may have ended in the meantime.
+            // The send fails if the run has just ended.
             let _ = sender.send(departure);
         }
     }
 
-    /// Returns a fresh ticket for an answer that says *not run*.
+    /// Mints a ticket if the answer says that the request did not run.
     pub(super) fn ticket_for(&self, answer: &FinalAnswer) -> Option<String> {
         if answer.run_state() != RunState::NotRun {
             return None;
@@ -75,15 +77,15 @@
         Some(self.lock().ledger.mint(&keys, now))
     }
 
-    /// Begins no new run from now on; returns what a peer has to know.
+    /// Stops new runs under tickets; returns the ledger to hand over to a peer.
     pub(super) fn close_ledger(&self) -> LedgerHandover {
         let now = self.now();
         self.lock().ledger.hand_over(now)
     }
 
-    /// Answers for the tickets of a peer from now on.
+    /// Takes over the ticket ledger of a leaving peer.
     pub(super) fn take_over(&self, handover: LedgerHandover) {
         let now = self.now();
-        self.lock().heirs.take_over(handover, now);
+        self.lock().handovers.take_over(handover, now);
     }
 }
--- a/src/agent/relay/run_actions.rs
+++ b/src/agent/relay/driver_actions.rs
@@ -1,8 +1,8 @@
 use http::Response;
 
 use super::{
-    AnswerCollector, LinkError, PeerPurpose, RequestBody, RequestRun,
-    interrupt::{DeadlineUse, Interruption},
+    AnswerCollector, AttemptError, PeerPurpose, RequestBody, RequestDriver,
+    interruption::{DeadlineMode, Interruption},
     request_head::{peer_request, upstream_request},
 };
 use crate::{
@@ -20,27 +20,27 @@
     route::TargetPhase,
 };
 
-impl RequestRun {
+impl RequestDriver {
     pub(super) async fn handle(&mut self, event: RequestEvent) {
-        let actions = self.desk.step(&mut self.machine, event);
+        let actions = self.coordinator.handle_event(&mut self.machine, event);
         for action in actions {
-            self.act(action).await;
+            self.perform(action).await;
         }
     }
 
-    pub(super) async fn act(&mut self, action: RequestAction) {
+    pub(super) async fn perform(&mut self, action: RequestAction) {
         match action {
-            RequestAction::LeaveQueues => self.wait = None,
-            RequestAction::ReleaseSlot(_) => self.permit = None,
-            // The stage itself says what is to be opened or sent.
+            RequestAction::LeaveQueues => self.slot_wait = None,
+            RequestAction::ReleaseSlot(_) => self.slot_permit = None,
+            // `RequestDriver::run` opens and sends according to the stage.
             RequestAction::Open(_) | RequestAction::Send(_) => {}
-            RequestAction::OpenElsewhere => self.open_elsewhere(),
+            RequestAction::OpenElsewhere => self.retry_elsewhere(),
             RequestAction::QueueAgain => {
-                // Peers that lose one grant may lose another.
+                // Waits locally: a peer that lost one grant may lose another.
                 self.grant = None;
                 self.wait_for_slot(false);
             }
-            RequestAction::PassAnswer => self.send_head().await,
+            RequestAction::PassAnswer => self.forward_head().await,
             RequestAction::EndAnswer => {
                 if let Some(sink) = self.sink.take() {
                     sink.finish().await;
@@ -52,7 +52,7 @@
                 }
             }
             RequestAction::DropAttempt => {
-                self.link = None;
+                self.connection = None;
                 self.answer = None;
             }
             RequestAction::SettleTicket(settled) => self.settle(settled),
@@ -60,7 +60,7 @@
         }
     }
 
-    pub(super) async fn send_head(&mut self) {
+    pub(super) async fn forward_head(&mut self) {
         let Some(answer) = &self.answer else {
             return;
         };
@@ -71,21 +71,21 @@
             return;
         };
         if sink.send_head(head).await.is_err() {
-            Box::pin(self.lose_sink()).await;
+            Box::pin(self.handle_sink_closed()).await;
         }
     }
 
-    pub(super) async fn lose_sink(&mut self) {
+    pub(super) async fn handle_sink_closed(&mut self) {
         self.sink = None;
-        let departure = self.interrupt.take_departure();
-        self.lose_caller(departure).await;
+        let departure = self.interruptions.record_departure();
+        self.handle_departure(departure).await;
     }
 
-    pub(super) async fn take_interruption(&mut self, interruption: Interruption) {
+    pub(super) async fn handle_interruption(&mut self, interruption: Interruption) {
         match interruption {
-            Interruption::Left(departure) => {
+            Interruption::CallerLeft(departure) => {
                 self.sink = None;
-                self.lose_caller(departure).await;
+                self.handle_departure(departure).await;
             }
             Interruption::Abandoned(departure) => {
                 self.handle(RequestEvent::CallerLeft(departure)).await;
@@ -95,9 +95,9 @@
         }
     }
 
-    pub(super) async fn lose_caller(&mut self, departure: CallerDeparture) {
+    pub(super) async fn handle_departure(&mut self, departure: CallerDeparture) {
         let departure = match self.run {
-            Some(run) => self.desk.detach_runner(run, departure),
+            Some(run) => self.coordinator.detach_runner(run, departure),
             None => departure,
         };
         self.handle(RequestEvent::CallerLeft(departure)).await;
@@ -110,7 +110,7 @@
         let ticket = if self.profile.idempotent {
             None
         } else {
-            self.desk.ticket_for(answer)
+            self.coordinator.ticket_for(answer)
         };
         sink.send_final(answer, ticket).await;
     }
@@ -128,18 +128,18 @@
             SettledRun::NotRun => RunOutcome::NotRun,
             SettledRun::Withdrawn => RunOutcome::Withdrawn,
         };
-        self.desk.settle(run, outcome);
+        self.coordinator.settle(run, outcome);
     }
 
-    pub(super) async fn fail(&mut self, place: RunPlace, error: &LinkError) {
+    pub(super) async fn handle_attempt_error(&mut self, place: RunPlace, error: &AttemptError) {
         log_event!(warn, AgentEvent::UpstreamFailed, ?place, %error);
-        if matches!(place, RunPlace::TicketHome(_)) && self.ask_next_home() {
+        if matches!(place, RunPlace::TicketHome(_)) && self.try_next_home() {
             return;
         }
-        if error.is_not_run() && matches!(place, RunPlace::Peer(_)) && self.grant.is_some() {
+        if error.did_not_run() && matches!(place, RunPlace::Peer(_)) && self.grant.is_some() {
             return self.handle(RequestEvent::GrantLost).await;
         }
-        let failure = if error.is_not_run() {
+        let failure = if error.did_not_run() {
             AttemptFailure::NotRun
         } else {
             AttemptFailure::MayHaveRun
@@ -147,21 +147,23 @@
         self.handle(RequestEvent::AttemptFailed(failure)).await;
     }
 
-    /// Asks the next heir; heirs know tickets and never run a request.
-    pub(super) fn ask_next_home(&mut self) -> bool {
-        if self.later.is_empty() || self.body.is_none() {
+    /// Relays to the next successor; successors only replay outcomes.
+    ///
+    /// Returns false if there is none or the body can't be sent again.
+    pub(super) fn try_next_home(&mut self) -> bool {
+        if self.fallback_homes.is_empty() || self.body.is_none() {
             return false;
         }
-        let next = self.later.remove(0);
+        let next = self.fallback_homes.remove(0);
         self.machine.start_at(RunPlace::TicketHome(next));
         true
     }
 
-    /// Makes another attempt at a peer, or here if there is none.
-    pub(super) fn open_elsewhere(&mut self) {
+    /// Retries at a random peer, or locally if there is none.
+    pub(super) fn retry_elsewhere(&mut self) {
         self.grant = None;
         let peers: Vec<TargetKey> = self
-            .desk
+            .coordinator
             .peers()
             .into_iter()
             .filter(|entry| entry.phase != TargetPhase::Leaving)
@@ -177,33 +179,33 @@
         }
     }
 
-    /// Returns the body for an attempt, and keeps it if it can be sent again.
-    pub(super) fn take_body(&mut self) -> Option<RequestBody> {
-        match self.body.as_ref().and_then(RequestBody::copy) {
+    /// Returns the body for an attempt: a copy if it is buffered completely.
+    pub(super) fn body_for_attempt(&mut self) -> Option<RequestBody> {
+        match self.body.as_ref().and_then(RequestBody::try_clone) {
             Some(copy) => Some(copy),
             None => self.body.take(),
         }
     }
 
-    pub(super) fn request_for(
+    pub(super) fn build_request(
         &mut self,
         place: RunPlace,
         body: RequestBody,
     ) -> http::Request<RequestBody> {
-        let left = self.profile.deadline.since(self.desk.now());
+        let left = self.profile.deadline.since(self.coordinator.now());
         let purpose = match place {
             RunPlace::Own => return upstream_request(&self.head, body, left),
             RunPlace::Peer(_) => self.grant.map_or(PeerPurpose::Retry, PeerPurpose::Claim),
             RunPlace::TicketHome(_) => PeerPurpose::Ticket,
         };
-        let keys = self.desk.secret().keys();
+        let keys = self.coordinator.secret().keys();
         peer_request(&self.head, body, left, purpose, &keys)
     }
 
-    pub(super) fn answer_deadline(&self) -> DeadlineUse {
+    pub(super) fn deadline_mode(&self) -> DeadlineMode {
         match self.profile.answer_deadline {
-            AnswerDeadline::Whole => DeadlineUse::Holds,
-            AnswerDeadline::Begun => DeadlineUse::Past,
+            AnswerDeadline::Whole => DeadlineMode::Enforced,
+            AnswerDeadline::Begun => DeadlineMode::Ignored,
         }
     }
 }
--- a/src/agent/relay/peer_head.rs
+++ b/src/agent/relay/peer_head.rs
@@ -8,13 +8,13 @@
     secret::KeyRing,
 };
 
-/// Tells why a request comes from a peer.
+/// The header with the purpose of a peer's request.
 const PURPOSE_HEADER: HeaderName = HeaderName::from_static("cyclamen-purpose");
-/// Names the claim whose slot the request is for.
+/// The header with the claim whose slot the request uses.
 const CLAIM_HEADER: HeaderName = HeaderName::from_static("cyclamen-claim");
-/// Marks an answer that an agent gave itself.
+/// Marks an answer that an agent generated itself.
 pub(super) const FINAL_HEADER: HeaderName = HeaderName::from_static("cyclamen-final");
-/// The header of the ticket, which the proof covers too.
+/// The header with the ticket, which the proof covers too.
 const TICKET_HEADER: &str = "idempotency-key";
 
 /// Why a peer sends a request.
@@ -22,52 +22,52 @@
 pub(super) enum PeerPurpose {
     /// The receiver granted a slot to this claim.
     Claim(ClaimKey),
-    /// The receiver answers for the request's ticket.
+    /// The receiver holds the outcome of the request's ticket.
     Ticket,
-    /// An attempt elsewhere has failed and did not run.
+    /// A retry; an earlier attempt elsewhere failed.
     Retry,
-    /// The sender leaves and hands its tickets over.
+    /// The sender is leaving and hands over its tickets.
     Handover,
 }
 
-/// Why a request of a peer was refused before its body was read.
+/// Why a peer's request was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error, Diagnostic)]
 pub(super) enum PeerHeadError {
-    /// The proof is missing, wrong or old.
+    /// The proof is missing, invalid or stale.
     #[error(transparent)]
     Proof(#[from] ProofError),
     /// The purpose is missing or malformed.
     #[error("the purpose of the request is missing or malformed")]
     Purpose,
-    /// The same call came before.
+    /// The nonce was used before, or the nonce cache is full.
     #[error("the call was sent before")]
     Replayed,
 }
 
-/// The part of a request's head that agents add for each other.
+/// The authenticated headers that agents add to requests for each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct PeerHead {
-    /// Why the request is sent.
+    /// The purpose of the request.
     pub(super) purpose: PeerPurpose,
     /// The nonce of its proof.
     pub(super) nonce: u64,
 }
 
 impl PeerHead {
-    /// Adds the head with its proof; `body` is covered, if it is known.
+    /// Adds the headers with a proof that also covers `body`.
     pub(super) fn sign(
         purpose: PeerPurpose,
         (method, uri, headers): (&Method, &Uri, &mut HeaderMap),
         body: &[u8],
         ring: &KeyRing,
     ) {
-        headers.insert(PURPOSE_HEADER, purpose.name());
+        headers.insert(PURPOSE_HEADER, purpose.header_value());
         if let PeerPurpose::Claim(key) = purpose
             && let Ok(value) = HeaderValue::from_str(&key.to_string())
         {
             headers.insert(CLAIM_HEADER, value);
         }
-        let path = covered_path(uri, headers);
+        let path = signed_path(uri, headers);
         let line = CallLine {
             method: method.as_str(),
             path: &path,
@@ -78,16 +78,16 @@
         }
     }
 
-    /// Verifies the head of a request and takes it off.
+    /// Verifies these headers of a request and removes them.
     ///
     /// # Errors
     ///
-    /// Fails when the proof does not hold or the purpose is malformed.
+    /// Fails when the proof is invalid or the purpose is malformed.
     pub(super) fn verify(
         (method, uri, headers): (&Method, &Uri, &mut HeaderMap),
         ring: &KeyRing,
     ) -> Result<(Self, CallProof), PeerHeadError> {
-        let path = covered_path(uri, headers);
+        let path = signed_path(uri, headers);
         let proof = headers.remove(CALL_HEADER).ok_or(ProofError::Missing)?;
         let text = proof.to_str().map_err(|_| ProofError::Malformed)?;
         let proof = CallProof::parse(text)?;
@@ -96,12 +96,12 @@
             path: &path,
         };
         proof.verify(ring, line, wall_now())?;
-        let purpose = PeerPurpose::take(headers).ok_or(PeerHeadError::Purpose)?;
+        let purpose = PeerPurpose::remove_from(headers).ok_or(PeerHeadError::Purpose)?;
         let nonce = proof.nonce();
         Ok((Self { purpose, nonce }, proof))
     }
 
-    /// Takes off whatever an outsider may have put into a head.
+    /// Removes these headers from an outsider's request.
     pub(super) fn strip(headers: &mut HeaderMap) {
         for name in [PURPOSE_HEADER, CLAIM_HEADER, FINAL_HEADER] {
             headers.remove(name);
@@ -111,7 +111,7 @@
 }
 
 impl PeerPurpose {
-    fn name(self) -> HeaderValue {
+    fn header_value(self) -> HeaderValue {
         HeaderValue::from_static(match self {
             Self::Claim(_) => "claim",
             Self::Ticket => "ticket",
@@ -120,7 +120,7 @@
         })
     }
 
-    fn take(headers: &mut HeaderMap) -> Option<Self> {
+    fn remove_from(headers: &mut HeaderMap) -> Option<Self> {
         let purpose = headers.remove(PURPOSE_HEADER)?;
         let claim = headers.remove(CLAIM_HEADER);
         match purpose.as_bytes() {
@@ -136,8 +136,8 @@
     }
 }
 
-/// Returns all of the head that decides what becomes of the request.
-fn covered_path(uri: &Uri, headers: &HeaderMap) -> String {
+/// Returns the path and the headers that the proof covers.
+fn signed_path(uri: &Uri, headers: &HeaderMap) -> String {
     let mut path = uri
         .path_and_query()
         .map_or_else(|| "/".to_owned(), ToString::to_string);
--- a/src/agent/relay/peer_message.rs
+++ b/src/agent/relay/peer_message.rs
@@ -2,22 +2,22 @@
 
 use crate::agent::{admission::TargetLoad, claim::ClaimFrame};
 
-/// A message between two agents of a service, in one datagram.
+/// A message between two agents of a service; one per datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum PeerMessage {
-    /// About a claim on a slot.
+    /// A frame of the claim protocol.
     Claim(ClaimFrame),
-    /// How much the sender has to do.
+    /// The sender's load.
     Load(TargetLoad),
 }
 
 impl PeerMessage {
-    /// Returns the message's bytes.
+    /// Encodes the message with postcard.
     pub(super) fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads a message; returns nothing if the bytes hold none.
+    /// Decodes a message; returns `None` if the bytes are malformed.
     pub(super) fn decode(bytes: &[u8]) -> Option<Self> {
         let (message, rest) = postcard::take_from_bytes(bytes).ok()?;
         rest.is_empty().then_some(message)
--- a/src/agent/relay/peer_server.rs
+++ b/src/agent/relay/peer_server.rs
@@ -22,9 +22,9 @@
 };
 
 use super::{
-    AnswerSink, BodySource, CallerWatch, IncomingRequest, NonceBook, PeerHead, PeerHeadError,
-    PeerPurpose, RequestDesk,
-    answer_sink::{AnswerCut, PeerPart},
+    AnswerSink, BodySource, CallerWatch, IncomingRequest, NonceCache, PeerHead, PeerHeadError,
+    PeerPurpose, RequestCoordinator,
+    answer_sink::{AnswerAborted, PeerBodyPart},
     serve_request,
 };
 use crate::{
@@ -34,60 +34,60 @@
     proof::{CallProof, ProofError},
 };
 
-/// Connections of peers that are served at once.
-const MOST_CONNECTIONS: usize = 1_024;
-/// The longest handover that is read, in bytes.
-const MOST_HANDOVER_BYTES: usize = 32 * 1024 * 1024;
-/// The time within which the head of a request must arrive.
-const HEAD_MILLIS: SpanMillis = SpanMillis::new(5_000);
-/// Parts of an answer that wait for a slow peer.
-const WAITING_PARTS: usize = 4;
+/// The most peer connections served at once.
+const MAX_CONNECTIONS: usize = 1_024;
+/// The longest handover body that is read, in bytes.
+const MAX_HANDOVER_BYTES: usize = 32 * 1024 * 1024;
+/// How long a peer may take to send the head of a request.
+const HEAD_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(5_000);
+/// Body frames buffered for a slow peer.
+const BODY_CHANNEL_CAPACITY: usize = 4;
 
-/// The peers' address can't be had.
+/// The address for other agents can't be bound.
 #[derive(Debug, Error, Diagnostic)]
 #[error("cannot listen for other agents at {address}: {cause}")]
 pub struct PeerServerError {
     /// The address from the settings.
     address: SocketAddrV4,
-    /// What the system answered.
+    /// The error from the operating system.
     #[source]
     cause: io::Error,
 }
 
-/// Answers other agents of the service over HTTP/1.1.
+/// Serves other agents of the service over HTTP/1.1.
 #[derive(Debug)]
 pub(crate) struct PeerServer {
     listener: TcpListener,
-    desk: Arc<RequestDesk>,
-    nonces: Mutex<NonceBook>,
-    room: Arc<Semaphore>,
+    coordinator: Arc<RequestCoordinator>,
+    nonces: Mutex<NonceCache>,
+    connection_permits: Arc<Semaphore>,
 }
 
 impl PeerServer {
-    /// Binds the address at which other agents ask.
+    /// Binds the address at which other agents call.
     ///
     /// # Errors
     ///
     /// Fails when the address can't be bound.
     pub(crate) async fn bind(
         address: SocketAddrV4,
-        desk: Arc<RequestDesk>,
+        coordinator: Arc<RequestCoordinator>,
     ) -> Result<Arc<Self>, PeerServerError> {
         let listener = TcpListener::bind(address)
             .await
             .map_err(|cause| PeerServerError { address, cause })?;
         Ok(Arc::new(Self {
             listener,
-            desk,
+            coordinator,
             nonces: Mutex::default(),
-            room: Arc::new(Semaphore::new(MOST_CONNECTIONS)),
+            connection_permits: Arc::new(Semaphore::new(MAX_CONNECTIONS)),
         }))
     }
 
-    /// Serves peers for ever.
+    /// Serves peers until the task is cancelled.
     pub(crate) async fn run(self: Arc<Self>) {
         loop {
-            let Ok(permit) = Arc::clone(&self.room).acquire_owned().await else {
+            let Ok(permit) = Arc::clone(&self.connection_permits).acquire_owned().await else {
                 return;
             };
             let Ok((stream, _)) = self.listener.accept().await else {
@@ -102,16 +102,16 @@
     }
 
     async fn serve_connection(self: Arc<Self>, stream: TcpStream) {
-        // Without it an answer is only slower.
+        // Ignored: without `TCP_NODELAY` answers are only slower.
         let _ = stream.set_nodelay(true);
         let service = service_fn(move |request| {
             let server = Arc::clone(&self);
             async move { Ok::<_, Infallible>(server.answer(request).await) }
         });
-        // A connection that breaks concerns its peer alone.
+        // Ignored: an error of one connection affects only its peer.
         let _ = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEAD_MILLIS.duration())
+            .header_read_timeout(HEAD_TIMEOUT_MILLIS.duration())
             .serve_connection(TokioIo::new(stream), service)
             .await;
     }
@@ -123,10 +123,10 @@
             Err(error) => return refuse(&error),
         };
         if peer.purpose == PeerPurpose::Handover {
-            return self.take_handover(body, &proof).await;
+            return self.receive_handover(body, &proof).await;
         }
         let (head_sender, head_receiver) = oneshot::channel();
-        let (body_sender, body_receiver) = mpsc::channel(WAITING_PARTS);
+        let (body_sender, body_receiver) = mpsc::channel(BODY_CHANNEL_CAPACITY);
         let incoming = IncomingRequest {
             head,
             body: BodySource::Peer(body),
@@ -134,11 +134,11 @@
             sink: AnswerSink::peer(head_sender, body_sender),
             purpose: Some(peer.purpose),
         };
-        tokio::spawn(serve_request(incoming, Arc::clone(&self.desk)));
+        tokio::spawn(serve_request(incoming, Arc::clone(&self.coordinator)));
         let body = PeerBody::Parts(body_receiver);
         match head_receiver.await {
             Ok(head) => head.map(|()| body),
-            // The request was broken off before its answer began.
+            // The request ended before it had an answer.
             Err(_) => with_status(StatusCode::BAD_GATEWAY),
         }
     }
@@ -149,18 +149,18 @@
         uri: &http::Uri,
         headers: &mut HeaderMap,
     ) -> Result<(PeerHead, CallProof), PeerHeadError> {
-        let ring = self.desk.secret().keys();
+        let ring = self.coordinator.secret().keys();
         let (peer, proof) = PeerHead::verify((method, uri, headers), &ring)?;
         let mut nonces = self.nonces.lock().unwrap_or_else(PoisonError::into_inner);
-        if nonces.take(peer.nonce, self.desk.now()) {
+        if nonces.insert(peer.nonce, self.coordinator.now()) {
             Ok((peer, proof))
         } else {
             Err(PeerHeadError::Replayed)
         }
     }
 
-    async fn take_handover(&self, body: Incoming, proof: &CallProof) -> Response<PeerBody> {
-        let limited = Limited::new(body, MOST_HANDOVER_BYTES);
+    async fn receive_handover(&self, body: Incoming, proof: &CallProof) -> Response<PeerBody> {
+        let limited = Limited::new(body, MAX_HANDOVER_BYTES);
         let Ok(collected) = limited.collect().await else {
             return refuse(&PeerHeadError::Proof(ProofError::Incomplete));
         };
@@ -172,7 +172,7 @@
             return with_status(StatusCode::BAD_REQUEST);
         };
         log_event!(info, AgentEvent::TicketsTaken, home = %handover.home);
-        self.desk.take_over(handover);
+        self.coordinator.take_over(handover);
         with_status(StatusCode::NO_CONTENT)
     }
 }
@@ -181,17 +181,17 @@
 #[derive(Debug)]
 enum PeerBody {
     Empty,
-    Parts(mpsc::Receiver<PeerPart>),
+    Parts(mpsc::Receiver<PeerBodyPart>),
 }
 
 impl Body for PeerBody {
     type Data = Bytes;
-    type Error = AnswerCut;
+    type Error = AnswerAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AnswerAborted>>> {
         match self.get_mut() {
             Self::Empty => Poll::Ready(None),
             Self::Parts(receiver) => receiver.poll_recv(context),
--- a/src/agent/relay/upstream_link.rs
+++ b/src/agent/relay/relay_connection.rs
@@ -13,102 +13,102 @@
 use super::RequestBody;
 use crate::key::TargetKey;
 
-/// Why an attempt gave no answer.
+/// Why an attempt got no answer.
 #[derive(Debug, Error, Diagnostic)]
-pub(super) enum LinkError {
-    /// No connection was made; the request did not run.
+pub(super) enum AttemptError {
+    /// The connection failed; the request did not run.
     #[error("no connection to {address}: {cause}")]
     Unreachable {
-        /// Where the connection was to go.
+        /// The address of the upstream or peer.
         address: SocketAddrV4,
-        /// What the system answered.
+        /// The error from the operating system.
         #[source]
         cause: io::Error,
     },
-    /// The peer is not registered any more; the request did not run.
-    #[error("{target} is not registered any more")]
-    Unknown {
+    /// The peer is no longer registered; the request did not run.
+    #[error("{target} is no longer registered")]
+    Unregistered {
         /// The peer's target.
         target: TargetKey,
     },
-    /// The connection took no request; the request did not run.
+    /// The connection closed before the request was sent; it did not run.
     #[error("the connection was closed before the request was sent: {0}")]
     Unsent(#[source] hyper::Error),
-    /// The request was on its way; whether it ran is not known.
+    /// The connection failed after the request was sent; it may have run.
     #[error("the connection failed after the request was sent: {0}")]
     Broken(#[source] hyper::Error),
 }
 
-impl LinkError {
-    /// Tells whether the request surely did not run.
-    pub(super) fn is_not_run(&self) -> bool {
+impl AttemptError {
+    /// Returns whether the request certainly did not run.
+    pub(super) fn did_not_run(&self) -> bool {
         match self {
-            Self::Unreachable { .. } | Self::Unknown { .. } | Self::Unsent(_) => true,
+            Self::Unreachable { .. } | Self::Unregistered { .. } | Self::Unsent(_) => true,
             Self::Broken(_) => false,
         }
     }
 }
 
-/// One connection to an upstream or a peer; dropping it closes it.
+/// An HTTP/1.1 connection to an upstream or a peer; dropping it closes it.
 #[derive(Debug)]
-pub(super) struct UpstreamLink {
+pub(super) struct RelayConnection {
     sender: SendRequest<RequestBody>,
     driver: JoinHandle<()>,
 }
 
-impl UpstreamLink {
+impl RelayConnection {
     /// Connects to `address`.
     ///
     /// # Errors
     ///
-    /// Fails when nobody accepts the connection.
-    pub(super) async fn connect(address: SocketAddrV4) -> Result<Self, LinkError> {
-        let unreachable = |cause| LinkError::Unreachable { address, cause };
+    /// Fails when the connection can't be established.
+    pub(super) async fn connect(address: SocketAddrV4) -> Result<Self, AttemptError> {
+        let unreachable = |cause| AttemptError::Unreachable { address, cause };
         let stream = TcpStream::connect(address).await.map_err(unreachable)?;
         stream.set_nodelay(true).map_err(unreachable)?;
         let (sender, connection) = handshake(TokioIo::new(stream))
             .await
-            .map_err(LinkError::Unsent)?;
+            .map_err(AttemptError::Unsent)?;
         let driver = tokio::spawn(async move {
-            // The request reports what went wrong.
+            // Ignored: the request on this connection reports the error.
             let _ = connection.await;
         });
         Ok(Self { sender, driver })
     }
 
-    /// Returns whether another request may be sent.
+    /// Returns whether the connection is still open.
     pub(super) fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
 
-    /// Waits until the connection takes another request.
+    /// Waits until the connection is ready for another request; false if it closed.
     pub(super) async fn ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Sends a request and returns the head of the answer with its body.
+    /// Sends a request and returns the response once its head has arrived.
     ///
     /// # Errors
     ///
-    /// Fails when no whole head of an answer came back.
+    /// Fails when no complete head of a response arrives.
     pub(super) async fn send(
         mut self,
         request: Request<RequestBody>,
-    ) -> Result<(Self, Response<Incoming>), LinkError> {
+    ) -> Result<(Self, Response<Incoming>), AttemptError> {
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok((self, response)),
             Err(mut error) => {
                 if error.take_message().is_some() {
-                    Err(LinkError::Unsent(error.into_error()))
+                    Err(AttemptError::Unsent(error.into_error()))
                 } else {
-                    Err(LinkError::Broken(error.into_error()))
+                    Err(AttemptError::Broken(error.into_error()))
                 }
             }
         }
     }
 }
 
-impl Drop for UpstreamLink {
+impl Drop for RelayConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
--- a/src/agent/relay/request_body.rs
+++ b/src/agent/relay/request_body.rs
@@ -10,67 +10,67 @@
 use hyper::body::Incoming;
 use tokio::sync::oneshot;
 
-/// The longest body that is read before the request asks for a slot, in bytes.
-const MOST_BUFFERED_BYTES: usize = 64 * 1024;
+/// How much of a body is buffered before the request asks for a slot, in bytes.
+const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 
-/// Where the body of a request comes from.
+/// The source of a request's body.
 pub(super) enum BodySource {
     /// From a caller, over HTTP/3.
     Caller {
         /// The receiving half of the request's stream.
         stream: RequestStream<h3_quinn::RecvStream, Bytes>,
-        /// Told when the caller breaks the request off.
+        /// Fires when the caller cancels the request.
         cancelled: Option<oneshot::Sender<()>>,
     },
     /// From another agent, over HTTP/1.1.
     Peer(Incoming),
 }
 
-/// The body of a request, as the upstream's connection reads it.
+/// The body of a relayed request: a buffered prefix and the rest as a stream.
 pub(super) struct RequestBody {
-    start: Bytes,
-    rest: Option<BodySource>,
+    buffered: Bytes,
+    remaining: Option<BodySource>,
 }
 
 impl RequestBody {
-    /// Reads the body up to a bound; what is longer follows as a stream.
+    /// Buffers the body up to a limit; the rest of a longer one is streamed.
     ///
     /// # Errors
     ///
-    /// Fails when the body broke off.
+    /// Fails when the body ends early.
     pub(super) async fn read(mut source: BodySource) -> io::Result<Self> {
-        let mut start = BytesMut::new();
-        while start.len() <= MOST_BUFFERED_BYTES {
+        let mut buffered = BytesMut::new();
+        while buffered.len() <= MAX_BUFFERED_BYTES {
             match source.next_part().await? {
-                Some(part) => start.extend_from_slice(&part),
+                Some(part) => buffered.extend_from_slice(&part),
                 None => {
                     return Ok(Self {
-                        start: start.freeze(),
-                        rest: None,
+                        buffered: buffered.freeze(),
+                        remaining: None,
                     });
                 }
             }
         }
         Ok(Self {
-            start: start.freeze(),
-            rest: Some(source),
+            buffered: buffered.freeze(),
+            remaining: Some(source),
         })
     }
 
-    /// Returns a copy that can be sent again, if all of the body is here.
-    pub(super) fn copy(&self) -> Option<Self> {
-        match self.rest {
+    /// Returns a copy if the body is buffered completely.
+    pub(super) fn try_clone(&self) -> Option<Self> {
+        match self.remaining {
             None => Some(Self {
-                start: self.start.clone(),
-                rest: None,
+                buffered: self.buffered.clone(),
+                remaining: None,
             }),
             Some(_) => None,
         }
     }
 
-    /// Returns the length of the body if all of it is here.
+    /// Returns the length in bytes if the body is buffered completely.
     pub(super) fn length(&self) -> Option<usize> {
-        self.rest.is_none().then(|| self.start.len())
+        self.remaining.is_none().then(|| self.buffered.len())
     }
 }
 
@@ -87,7 +87,7 @@
                     Ok(data) => Ok(data.map(|mut data| data.copy_to_bytes(data.remaining()))),
                     Err(error) => {
                         if let Some(cancelled) = cancelled.take() {
-                            // The request may have ended already.
+                            // The send fails if the request has ended already.
                             let _ = cancelled.send(());
                         }
                         Err(io::Error::other(error))
@@ -123,11 +123,11 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         let body = self.get_mut();
-        if !body.start.is_empty() {
-            let start = std::mem::take(&mut body.start);
-            return Poll::Ready(Some(Ok(Frame::data(start))));
+        if !body.buffered.is_empty() {
+            let buffered = std::mem::take(&mut body.buffered);
+            return Poll::Ready(Some(Ok(Frame::data(buffered))));
         }
-        let Some(source) = &mut body.rest else {
+        let Some(source) = &mut body.remaining else {
             return Poll::Ready(None);
         };
         let part = ready!(source.poll_part(context));
@@ -135,12 +135,12 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.start.is_empty() && self.rest.is_none()
+        self.buffered.is_empty() && self.remaining.is_none()
     }
 
     fn size_hint(&self) -> http_body::SizeHint {
-        match self.rest {
-            None => http_body::SizeHint::with_exact(self.start.len() as u64),
+        match self.remaining {
+            None => http_body::SizeHint::with_exact(self.buffered.len() as u64),
             Some(_) => http_body::SizeHint::default(),
         }
     }
--- a/src/agent/relay/request_desk.rs
+++ b/src/agent/relay/request_coordinator.rs
@@ -7,7 +7,8 @@
 use tokio::sync::{Notify, oneshot, watch};
 
 use super::{
-    DeskCounts, DeskState, PeerMessage, SlotPermit, SlotWait, StreamPermit, UpstreamPool, WaitEnd,
+    CoordinatorState, PeerMessage, RequestCounts, SlotPermit, SlotWait, StreamPermit, UpstreamPool,
+    WaitOutcome,
 };
 use crate::{
     agent::{
@@ -16,7 +17,7 @@
             AgentIdentity, BindVerdict, BrokerOutput, ClaimFrame, ClaimKey, PeerGrant, PeerView,
         },
         endpoint::{LoadGauge, TargetIdentity, TunnelSocket},
-        node::OpenGauge,
+        node::OpenWorkGauge,
         request::{RequestAction, RequestEvent, RequestMachine},
         slot::{CountVerdict, SlotEvent, SlotKey, SlotLimits, SlotRequest, SlotVerdict, WaiterKey},
     },
@@ -28,49 +29,49 @@
     watch::WatchState,
 };
 
-/// What every request at this agent shares: slots, tickets, retries.
+/// Coordinates all requests at this agent: slots, claims, tickets and retries.
 #[derive(Debug)]
-pub(crate) struct RequestDesk {
-    own: AgentIdentity,
+pub(crate) struct RequestCoordinator {
+    identity: AgentIdentity,
     service: ServiceNumber,
     clock: ProcessClock,
     secret: SecretStore,
     routes: Arc<WatchState>,
     socket: Arc<TunnelSocket>,
-    gauge: Arc<LoadGauge>,
-    open: Arc<OpenGauge>,
+    load_gauge: Arc<LoadGauge>,
+    open_work: Arc<OpenWorkGauge>,
     pool: Arc<UpstreamPool>,
     spec: ArcSwap<ServiceSpec>,
-    state: Mutex<DeskState>,
+    state: Mutex<CoordinatorState>,
     settled: watch::Sender<u64>,
     cut: watch::Sender<bool>,
     work: Notify,
 }
 
-impl RequestDesk {
-    /// Creates the desk of an agent that has just started.
+impl RequestCoordinator {
+    /// Creates the coordinator of an agent that has just started.
     pub(crate) fn new(
         identity: TargetIdentity,
         spec: ServiceSpec,
         upstream: SocketAddrV4,
         secret: SecretStore,
         routes: Arc<WatchState>,
-        (socket, gauge, open): (Arc<TunnelSocket>, Arc<LoadGauge>, Arc<OpenGauge>),
+        (socket, load_gauge, open_work): (Arc<TunnelSocket>, Arc<LoadGauge>, Arc<OpenWorkGauge>),
     ) -> Arc<Self> {
         let own = AgentIdentity {
             target: identity.target,
             incarnation: identity.incarnation,
         };
-        let state = DeskState::new(own, identity.service, &spec);
+        let state = CoordinatorState::new(own, identity.service, &spec);
         Arc::new(Self {
-            own,
+            identity: own,
             service: identity.service,
             clock: socket.clock(),
             secret,
             routes,
             socket,
-            gauge,
-            open,
+            load_gauge,
+            open_work,
             pool: UpstreamPool::new(upstream),
             spec: ArcSwap::from_pointee(spec),
             state: Mutex::new(state),
@@ -80,12 +81,12 @@
         })
     }
 
-    /// Puts a changed service in force, and the peers that are registered.
+    /// Applies a changed service and refreshes the list of peers.
     pub(crate) fn set_service(&self, spec: &ServiceSpec) {
         if **self.spec.load() != *spec {
             self.spec.store(Arc::new(spec.clone()));
         }
-        let peers = self.view_peers();
+        let peers = self.peer_views();
         let mut state = self.lock();
         state.broker.set_limits(SlotLimits::new(spec));
         state.budget.set_percent(spec.retry_percent);
@@ -93,13 +94,13 @@
         state.peers = peers;
     }
 
-    /// Breaks off everything that is open, on the operator's word.
+    /// Cuts all open requests.
     pub(crate) fn cut(&self) {
         self.cut.send_replace(true);
     }
 
-    /// Returns what the desk holds.
-    pub(crate) fn counts(&self) -> DeskCounts {
+    /// Returns the current counts, for a dump.
+    pub(crate) fn counts(&self) -> RequestCounts {
         self.lock().counts(self.now())
     }
 
@@ -115,16 +116,16 @@
         &self.secret
     }
 
-    pub(super) fn own(&self) -> AgentIdentity {
-        self.own
+    pub(super) fn identity(&self) -> AgentIdentity {
+        self.identity
     }
 
     pub(super) fn pool(&self) -> &Arc<UpstreamPool> {
         &self.pool
     }
 
-    pub(super) fn open_gauge(&self) -> &Arc<OpenGauge> {
-        &self.open
+    pub(super) fn open_work(&self) -> &Arc<OpenWorkGauge> {
+        &self.open_work
     }
 
     pub(super) fn socket(&self) -> &Arc<TunnelSocket> {
@@ -132,14 +133,14 @@
     }
 
     pub(super) fn load(&self) -> TargetLoad {
-        self.gauge.read()
+        self.load_gauge.read()
     }
 
     pub(super) fn cut_signal(&self) -> watch::Receiver<bool> {
         self.cut.subscribe()
     }
 
-    /// Wakes whoever waits for the end of a run.
+    /// Wakes the requests that wait for the end of a run.
     pub(super) fn wake_waiters(&self) {
         self.settled.send_modify(|count| *count += 1);
     }
@@ -154,7 +155,7 @@
         table
             .targets(self.service)
             .map(|(_, entry)| *entry)
-            .filter(|entry| entry.key != self.own.target)
+            .filter(|entry| entry.key != self.identity.target)
             .collect()
     }
 
@@ -163,7 +164,7 @@
         let table = self.routes.table().load();
         table
             .target(self.service, target)
-            .filter(|entry| entry.key != self.own.target)
+            .filter(|entry| entry.key != self.identity.target)
     }
 
     /// Counts a request that came from a caller.
@@ -172,8 +173,8 @@
         self.lock().budget.record_request(now);
     }
 
-    /// Lets a request's machine react to an event.
-    pub(super) fn step(
+    /// Passes an event to a request's state machine; returns its actions.
+    pub(super) fn handle_event(
         &self,
         machine: &mut RequestMachine,
         event: RequestEvent,
@@ -182,7 +183,8 @@
         machine.handle(event, &mut self.lock().budget, now)
     }
 
-    /// Asks for a slot here, and for claims at peers if it has to wait.
+    /// Requests a local slot; if it must wait and `claims_peers` is set, also
+    /// claims slots at peers.
     pub(super) fn request_slot(
         self: &Arc<Self>,
         request: SlotRequest,
@@ -202,18 +204,18 @@
             state.peers = peers;
         }
         let mut waiter = None;
-        let end = match verdict {
-            SlotVerdict::Run(slot) => Some(WaitEnd::Slot(slot)),
-            SlotVerdict::Refuse(refusal) => Some(WaitEnd::Refused(refusal)),
+        let outcome = match verdict {
+            SlotVerdict::Run(slot) => Some(WaitOutcome::Slot(slot)),
+            SlotVerdict::Refuse(refusal) => Some(WaitOutcome::Refused(refusal)),
             SlotVerdict::Wait(key) => {
                 waiter = Some(key);
                 None
             }
         };
-        match (end, waiter) {
-            (Some(end), _) => {
-                // The receiver is still here.
-                let _ = sender.send(end);
+        match (outcome, waiter) {
+            (Some(outcome), _) => {
+                // Can't fail: the receiver is still alive.
+                let _ = sender.send(outcome);
             }
             (None, Some(key)) => {
                 state.waiters.insert(key, sender);
@@ -221,12 +223,12 @@
             }
             (None, None) => {}
         }
-        self.follow(&mut state, output);
+        self.apply_output(&mut state, output);
         drop(state);
         SlotWait::new(Arc::clone(self), waiter, receiver)
     }
 
-    /// Puts a peer's request on the slot that was granted to it.
+    /// Binds a peer's request to the slot granted to its claim.
     pub(super) fn bind(self: &Arc<Self>, key: ClaimKey) -> Option<SlotPermit> {
         match self.lock().broker.bind(key) {
             BindVerdict::Bound(slot) => Some(SlotPermit::new(Arc::clone(self), slot)),
@@ -234,7 +236,7 @@
         }
     }
 
-    /// Counts an open stream, unless there are too many.
+    /// Opens a stream; returns `None` at the limit.
     pub(super) fn open_stream(self: &Arc<Self>) -> Option<StreamPermit> {
         match self.lock().streams.open() {
             CountVerdict::Open => Some(StreamPermit::new(Arc::clone(self))),
@@ -250,41 +252,41 @@
         let mut state = self.lock();
         state.waiters.remove(waiter);
         let output = state.broker.withdraw(waiter);
-        self.follow(&mut state, output);
+        self.apply_output(&mut state, output);
     }
 
     pub(super) fn release(&self, slot: SlotKey) {
         let now = self.now();
         let mut state = self.lock();
         let output = state.broker.release(slot, now);
-        self.follow(&mut state, output);
+        self.apply_output(&mut state, output);
     }
 
-    /// Takes a message about a claim.
+    /// Handles a frame of the claim protocol.
     pub(super) fn receive(&self, frame: ClaimFrame) {
         let now = self.now();
         let mut state = self.lock();
         let output = state.broker.receive(frame, now);
-        self.follow(&mut state, output);
+        self.apply_output(&mut state, output);
         self.work.notify_one();
     }
 
-    /// Does what is due; returns whether anything waits or is claimed.
+    /// Runs due timers; returns whether requests wait or claims are open.
     pub(super) fn advance(&self) -> bool {
         let now = self.now();
         let mut state = self.lock();
         let output = state.broker.advance(now);
-        self.follow(&mut state, output);
+        self.apply_output(&mut state, output);
         let waiting = state.broker.counts().waiting > 0;
         waiting || state.broker.claims() != (0, 0)
     }
 
-    /// Returns once something may be due soon.
-    pub(super) async fn work_begun(&self) {
+    /// Waits until a request is queued or a claim frame arrives.
+    pub(super) async fn wait_for_work(&self) {
         self.work.notified().await;
     }
 
-    fn view_peers(&self) -> Vec<PeerView> {
+    fn peer_views(&self) -> Vec<PeerView> {
         self.peers()
             .into_iter()
             .filter(|entry| entry.phase != TargetPhase::Leaving)
@@ -299,42 +301,44 @@
             .collect()
     }
 
-    /// Wakes requests and sends messages; `state` is held for the order alone.
-    fn follow(&self, state: &mut DeskState, output: BrokerOutput) {
+    /// Sends the broker's frames and wakes requests.
+    ///
+    /// The caller holds the lock, so that outputs are applied in order.
+    fn apply_output(&self, state: &mut CoordinatorState, output: BrokerOutput) {
         let mut pending = vec![output];
         while let Some(output) = pending.pop() {
             for send in output.sends {
                 let message = PeerMessage::Claim(send.frame);
                 self.socket.send_peer(send.to, &message.encode());
             }
-            for (waiter, end) in ends_of(output.events, output.grants) {
+            for (waiter, outcome) in wait_outcomes(output.events, output.grants) {
                 let sender = state.waiters.remove(waiter);
-                let unheard = sender.is_none_or(|sender| sender.send(end).is_err());
-                if unheard && let WaitEnd::Slot(slot) = end {
+                let undelivered = sender.is_none_or(|sender| sender.send(outcome).is_err());
+                if undelivered && let WaitOutcome::Slot(slot) = outcome {
                     pending.push(state.broker.release(slot, self.now()));
                 }
             }
         }
         let counts = state.broker.counts();
-        self.gauge
+        self.load_gauge
             .set_requests(u32::from(counts.running) + u32::from(counts.waiting));
     }
 
-    pub(super) fn lock(&self) -> MutexGuard<'_, DeskState> {
+    pub(super) fn lock(&self) -> MutexGuard<'_, CoordinatorState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn ends_of(
+fn wait_outcomes(
     events: Vec<SlotEvent>,
     grants: Vec<PeerGrant>,
-) -> impl Iterator<Item = (WaiterKey, WaitEnd)> {
+) -> impl Iterator<Item = (WaiterKey, WaitOutcome)> {
     let from_events = events.into_iter().map(|event| match event {
-        SlotEvent::Started { waiter, slot } => (waiter, WaitEnd::Slot(slot)),
-        SlotEvent::Refused { waiter, refusal } => (waiter, WaitEnd::Refused(refusal)),
+        SlotEvent::Started { waiter, slot } => (waiter, WaitOutcome::Slot(slot)),
+        SlotEvent::Refused { waiter, refusal } => (waiter, WaitOutcome::Refused(refusal)),
     });
     let from_grants = grants
         .into_iter()
-        .map(|grant| (grant.waiter, WaitEnd::Peer(grant)));
+        .map(|grant| (grant.waiter, WaitOutcome::Peer(grant)));
     from_events.chain(from_grants)
 }
--- a/src/agent/relay/request_head.rs
+++ b/src/agent/relay/request_head.rs
@@ -3,7 +3,7 @@
 use super::{PeerHead, PeerPurpose, RequestBody};
 use crate::{clock::SpanMillis, secret::KeyRing};
 
-/// Headers that concern one hop alone (RFC 9110, section 7.6.1).
+/// Hop-by-hop headers (RFC 9110, section 7.6.1).
 const HOP_HEADERS: [HeaderName; 6] = [
     header::CONNECTION,
     header::TE,
@@ -12,10 +12,10 @@
     header::UPGRADE,
     HeaderName::from_static("keep-alive"),
 ];
-/// The header that carries the time left, in milliseconds.
+/// The header with the time left until the deadline, in milliseconds.
 pub(super) const DEADLINE_HEADER: HeaderName = HeaderName::from_static("x-deadline-millis");
 
-/// Returns the request as the own upstream gets it.
+/// Builds the request for the agent's upstream.
 pub(super) fn upstream_request(
     head: &Parts,
     body: RequestBody,
@@ -26,7 +26,7 @@
     *request.uri_mut() = path_only(&head.uri);
     *request.headers_mut() = forwarded_headers(head);
     if request.body().length().is_some() {
-        // The length is that of the body, whatever the caller said.
+        // hyper sets the length of the buffered body; the caller's may be wrong.
         request.headers_mut().remove(header::CONTENT_LENGTH);
     }
     let left = HeaderValue::from(left.millis());
@@ -34,7 +34,7 @@
     request
 }
 
-/// Returns the request as another agent gets it.
+/// Builds the request for another agent.
 pub(super) fn peer_request(
     head: &Parts,
     body: RequestBody,
@@ -49,7 +49,7 @@
     request
 }
 
-/// Takes off an answer's head what concerns one hop alone.
+/// Removes the hop-by-hop headers.
 pub(super) fn strip_hop_headers(headers: &mut HeaderMap) {
     for name in &HOP_HEADERS {
         headers.remove(name);
--- a/src/agent/relay/request_server.rs
+++ b/src/agent/relay/request_server.rs
@@ -3,8 +3,8 @@
 use http::request::Parts;
 
 use super::{
-    AnswerSink, BodySource, CallerWatch, PeerPurpose, RequestBody, RequestDesk, RequestRun,
-    request_head::DEADLINE_HEADER,
+    AnswerSink, BodySource, CallerWatch, PeerPurpose, RequestBody, RequestCoordinator,
+    RequestDriver, request_head::DEADLINE_HEADER,
 };
 use crate::{
     agent::{
@@ -16,30 +16,31 @@
     key::TargetKey,
 };
 
-/// The header that carries a ticket.
+/// The header with a ticket.
 const TICKET_HEADER: &str = "idempotency-key";
-/// When to come back for the answer of a run that is on its way.
+/// Retry-after for a run that is still in progress.
 const RUNNING_RETRY_MILLIS: SpanMillis = SpanMillis::new(1_000);
-/// When to come back after a peer's slot was lost or streams are full.
-const SOON_RETRY_MILLIS: SpanMillis = SpanMillis::new(200);
+/// Retry-after for a lost grant, a full stream limit or a deadline that passed
+/// before the body was read.
+const SHORT_RETRY_MILLIS: SpanMillis = SpanMillis::new(200);
 
-/// A request as it arrives at this agent.
+/// A request as it arrives at this agent, with its body unread.
 pub(super) struct IncomingRequest {
-    /// The head, without what agents add for each other.
+    /// The head, without the headers that agents add for each other.
     pub(super) head: Parts,
     /// Where the body comes from.
     pub(super) body: BodySource,
     /// Where the answer goes.
     pub(super) sink: AnswerSink,
-    /// Notices when the caller goes away.
+    /// Detects the caller's departure.
     pub(super) watch: CallerWatch,
-    /// Why a peer sent it; nothing if a caller did.
+    /// The purpose if a peer sent the request; `None` if a caller did.
     pub(super) purpose: Option<PeerPurpose>,
 }
 
-/// Takes one request to its end.
-pub(super) async fn serve_request(incoming: IncomingRequest, desk: Arc<RequestDesk>) {
-    let profile = match read_profile(&incoming.head, &desk) {
+/// Serves one request to its end.
+pub(super) async fn serve_request(incoming: IncomingRequest, coordinator: Arc<RequestCoordinator>) {
+    let profile = match read_profile(&incoming.head, &coordinator) {
         Ok(profile) => profile,
         Err(ProfileError::MalformedDeadline) => {
             let detail = "x-deadline-millis is no number of milliseconds";
@@ -48,19 +49,19 @@
         }
     };
     if incoming.purpose.is_none() {
-        desk.record_request();
+        coordinator.record_request();
     }
     let key = ticket_key(&incoming, profile);
-    let Some(ready) = read_body(incoming, profile, desk).await else {
+    let Some(request) = read_body(incoming, profile, coordinator).await else {
         return;
     };
     match key {
-        Some(key) => ready.serve_ticketed(&key).await,
-        None => ready.serve_plain(None).await,
+        Some(key) => request.execute_once(&key).await,
+        None => request.execute(None).await,
     }
 }
 
-/// A request whose body is here or follows.
+/// A request whose body is buffered, completely or up to the limit.
 struct ReadyRequest {
     head: Parts,
     body: RequestBody,
@@ -68,17 +69,17 @@
     watch: CallerWatch,
     purpose: Option<PeerPurpose>,
     profile: RequestProfile,
-    desk: Arc<RequestDesk>,
+    coordinator: Arc<RequestCoordinator>,
 }
 
 impl ReadyRequest {
-    /// Serves a request whose outcome is kept under the ticket `key`.
-    async fn serve_ticketed(mut self, key: &str) {
-        let print = fingerprint(&self.head);
-        match self.desk.present(key, print) {
+    /// Executes a request at most once under the ticket `key`.
+    async fn execute_once(mut self, key: &str) {
+        let fingerprint = fingerprint(&self.head);
+        match self.coordinator.present(key, fingerprint) {
             TicketVerdict::Run(run) => {
                 self.profile = self.profile.with_ticket();
-                self.serve_plain(Some(run)).await;
+                self.execute(Some(run)).await;
             }
             TicketVerdict::Await(run) => self.await_run(run).await,
             TicketVerdict::Replay(outcome) => self.sink.send_kept(&outcome).await,
@@ -87,21 +88,21 @@
         }
     }
 
-    /// Waits for the run that another request with the same ticket began.
+    /// Waits for the run that another request with the same ticket started.
     async fn await_run(mut self, run: RunKey) {
-        let mut settled = self.desk.settled_signal();
+        let mut settled = self.coordinator.settled_signal();
         let deadline = self.profile.deadline;
         loop {
-            if let Some(verdict) = self.desk.outcome(run) {
+            if let Some(verdict) = self.coordinator.outcome(run) {
                 return self.send_verdict(verdict).await;
             }
             tokio::select! {
                 _ = settled.changed() => {}
-                departure = self.watch.left() => {
-                    return self.desk.detach_waiter(run, departure);
+                departure = self.watch.await_departure() => {
+                    return self.coordinator.detach_waiter(run, departure);
                 }
-                () = sleep_until(&self.desk, deadline) => {
-                    self.desk.detach_waiter(run, CallerDeparture::Lost);
+                () = sleep_until(&self.coordinator, deadline) => {
+                    self.coordinator.detach_waiter(run, CallerDeparture::Lost);
                     let retry_after = RUNNING_RETRY_MILLIS;
                     return self.send_final(&FinalAnswer::StillRunning { retry_after }).await;
                 }
@@ -119,56 +120,57 @@
         }
     }
 
-    /// Lets the agent answer that minted the ticket, or its heir.
+    /// Relays to the agent that minted the ticket, or to a successor of it.
     async fn relay_ticket(self, ticket: SealedTicket) {
-        // A peer that relays expects the answer from here.
-        let places = if self.purpose.is_none() {
-            ticket_places(&self.desk, ticket)
+        // A request that a peer relayed is not relayed again.
+        let targets = if self.purpose.is_none() {
+            ticket_targets(&self.coordinator, ticket)
         } else {
             Vec::new()
         };
-        let Some(first) = places.first().copied() else {
+        let Some(first) = targets.first().copied() else {
             return self.send_final(&FinalAnswer::OutcomeUnknown).await;
         };
-        let later = places[1..].to_vec();
-        let mut run = self.into_run(None);
-        run.ask_ticket_home(first, later);
-        run.run().await;
+        let fallback_homes = targets[1..].to_vec();
+        let mut driver = self.into_driver(None);
+        driver.relay_to_home(first, fallback_homes);
+        driver.run().await;
     }
 
-    async fn serve_plain(self, run: Option<RunKey>) {
+    /// Runs the request on a granted slot, as a stream, or once a slot is free.
+    async fn execute(self, run: Option<RunKey>) {
         match self.purpose {
             Some(PeerPurpose::Claim(key)) => {
-                let Some(permit) = self.desk.bind(key) else {
+                let Some(permit) = self.coordinator.bind(key) else {
                     return self.refuse(run, NotRunCause::GrantLost).await;
                 };
-                let mut request = self.into_run(run);
-                request.hold_slot(permit).await;
-                request.run().await;
+                let mut driver = self.into_driver(run);
+                driver.start_on_slot(permit).await;
+                driver.run().await;
             }
             _ if self.profile.kind == RequestKind::Stream => {
-                let Some(permit) = self.desk.open_stream() else {
+                let Some(permit) = self.coordinator.open_stream() else {
                     return self.refuse(run, NotRunCause::StreamLimit).await;
                 };
-                let mut request = self.into_run(run);
-                request.hold_stream(permit);
-                request.run().await;
+                let mut driver = self.into_driver(run);
+                driver.start_as_stream(permit);
+                driver.run().await;
             }
             purpose => {
                 let claims_peers = purpose.is_none();
-                let mut request = self.into_run(run);
-                request.wait_for_slot(claims_peers);
-                request.run().await;
+                let mut driver = self.into_driver(run);
+                driver.wait_for_slot(claims_peers);
+                driver.run().await;
             }
         }
     }
 
     async fn refuse(self, run: Option<RunKey>, cause: NotRunCause) {
         if let Some(run) = run {
-            self.desk
+            self.coordinator
                 .settle(run, crate::agent::ticket::RunOutcome::NotRun);
         }
-        let retry_after = SOON_RETRY_MILLIS;
+        let retry_after = SHORT_RETRY_MILLIS;
         self.send_final(&FinalAnswer::NotRun { cause, retry_after })
             .await;
     }
@@ -177,14 +179,14 @@
         let ticket = if self.profile.idempotent {
             None
         } else {
-            self.desk.ticket_for(answer)
+            self.coordinator.ticket_for(answer)
         };
         self.sink.send_final(answer, ticket).await;
     }
 
-    fn into_run(self, run: Option<RunKey>) -> RequestRun {
-        RequestRun::new(
-            self.desk,
+    fn into_driver(self, run: Option<RunKey>) -> RequestDriver {
+        RequestDriver::new(
+            self.coordinator,
             self.profile,
             (self.head, self.body),
             (self.sink, self.watch),
@@ -193,12 +195,15 @@
     }
 }
 
-/// Sleeps until an instant of the agent's clock.
-pub(super) async fn sleep_until(desk: &RequestDesk, instant: ClockMillis) {
-    tokio::time::sleep(instant.since(desk.now()).duration()).await;
+/// Sleeps until `instant` on the agent's clock.
+pub(super) async fn sleep_until(coordinator: &RequestCoordinator, instant: ClockMillis) {
+    tokio::time::sleep(instant.since(coordinator.now()).duration()).await;
 }
 
-fn read_profile(head: &Parts, desk: &RequestDesk) -> Result<RequestProfile, ProfileError> {
+fn read_profile(
+    head: &Parts,
+    coordinator: &RequestCoordinator,
+) -> Result<RequestProfile, ProfileError> {
     let field = match head.headers.get(DEADLINE_HEADER) {
         Some(value) => Some(
             value
@@ -208,10 +213,17 @@
         None => None,
     };
     let method = head.method.as_str();
-    RequestProfile::new(&desk.spec(), method, head.uri.path(), field, desk.now())
+    RequestProfile::new(
+        &coordinator.spec(),
+        method,
+        head.uri.path(),
+        field,
+        coordinator.now(),
+    )
 }
 
-/// Returns the key of a request that must not run twice.
+/// Returns the ticket of a request that must not run twice, if this agent
+/// decides on it.
 fn ticket_key(incoming: &IncomingRequest, profile: RequestProfile) -> Option<String> {
     let decides_here = matches!(incoming.purpose, None | Some(PeerPurpose::Ticket));
     if profile.idempotent || !decides_here {
@@ -234,11 +246,13 @@
     RequestFingerprint::new(head.method.as_str(), path, length)
 }
 
-/// Reads the body as far as it is small; nothing if the caller is gone.
+/// Buffers the body up to the limit.
+///
+/// Returns `None` if the caller is gone or the deadline has passed.
 async fn read_body(
     incoming: IncomingRequest,
     mut profile: RequestProfile,
-    desk: Arc<RequestDesk>,
+    coordinator: Arc<RequestCoordinator>,
 ) -> Option<ReadyRequest> {
     let IncomingRequest {
         head,
@@ -249,10 +263,10 @@
     } = incoming;
     let body = tokio::select! {
         body = RequestBody::read(body) => body.ok()?,
-        _ = watch.left() => return None,
-        () = sleep_until(&desk, profile.deadline) => {
+        _ = watch.await_departure() => return None,
+        () = sleep_until(&coordinator, profile.deadline) => {
             let cause = NotRunCause::DeadlineTooNear;
-            let retry_after = SOON_RETRY_MILLIS;
+            let retry_after = SHORT_RETRY_MILLIS;
             sink.send_final(&FinalAnswer::NotRun { cause, retry_after }, None).await;
             return None;
         }
@@ -265,13 +279,13 @@
         watch,
         purpose,
         profile,
-        desk,
+        coordinator,
     })
 }
 
-/// Returns the peers that may answer for a ticket, in the order to ask.
-fn ticket_places(desk: &RequestDesk, ticket: SealedTicket) -> Vec<TargetKey> {
-    let peers = desk.peers();
+/// Returns the peers that may hold a ticket, in the order to try.
+fn ticket_targets(coordinator: &RequestCoordinator, ticket: SealedTicket) -> Vec<TargetKey> {
+    let peers = coordinator.peers();
     let home = peers
         .iter()
         .find(|entry| entry.key == ticket.home && entry.incarnation == ticket.incarnation);
--- a/src/agent/relay/slot_wait.rs
+++ b/src/agent/relay/slot_wait.rs
@@ -2,7 +2,7 @@
 
 use tokio::sync::oneshot;
 
-use super::RequestDesk;
+use super::RequestCoordinator;
 use crate::agent::{
     claim::PeerGrant,
     slot::{SlotKey, SlotRefusal, WaiterKey},
@@ -10,62 +10,66 @@
 
 /// How a wait for a slot ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum WaitEnd {
-    /// An own slot is held.
+pub(super) enum WaitOutcome {
+    /// A local slot was granted.
     Slot(SlotKey),
-    /// A peer's slot is held.
+    /// A peer granted one of its slots.
     Peer(PeerGrant),
-    /// No slot can be had in time.
+    /// No slot will be free in time.
     Refused(SlotRefusal),
 }
 
-/// A place in the queue; dropping it leaves the queue.
+/// A wait for a slot; dropping it leaves the queue.
 #[derive(Debug)]
 pub(super) struct SlotWait {
-    desk: Arc<RequestDesk>,
+    coordinator: Arc<RequestCoordinator>,
     waiter: Option<WaiterKey>,
-    end: oneshot::Receiver<WaitEnd>,
+    outcome: oneshot::Receiver<WaitOutcome>,
 }
 
 impl SlotWait {
     pub(super) fn new(
-        desk: Arc<RequestDesk>,
+        coordinator: Arc<RequestCoordinator>,
         waiter: Option<WaiterKey>,
-        end: oneshot::Receiver<WaitEnd>,
+        outcome: oneshot::Receiver<WaitOutcome>,
     ) -> Self {
-        Self { desk, waiter, end }
+        Self {
+            coordinator,
+            waiter,
+            outcome,
+        }
     }
 
-    /// Waits for the end; nothing if the desk is gone.
-    pub(super) async fn end(&mut self) -> Option<WaitEnd> {
-        let end = (&mut self.end).await.ok();
+    /// Waits for the outcome; `None` if the coordinator is gone.
+    pub(super) async fn outcome(&mut self) -> Option<WaitOutcome> {
+        let outcome = (&mut self.outcome).await.ok();
         self.waiter = None;
-        end
+        outcome
     }
 }
 
 impl Drop for SlotWait {
     fn drop(&mut self) {
         if let Some(waiter) = self.waiter {
-            self.desk.leave_queue(waiter);
+            self.coordinator.leave_queue(waiter);
         }
-        // A slot may have been granted in the meantime.
-        if let Ok(WaitEnd::Slot(slot)) = self.end.try_recv() {
-            self.desk.release(slot);
+        // Releases a slot that was granted but not yet received.
+        if let Ok(WaitOutcome::Slot(slot)) = self.outcome.try_recv() {
+            self.coordinator.release(slot);
         }
     }
 }
 
-/// A held slot; dropping it gives it back.
+/// A held slot; dropping it releases the slot.
 #[derive(Debug)]
 pub(super) struct SlotPermit {
-    desk: Arc<RequestDesk>,
+    coordinator: Arc<RequestCoordinator>,
     slot: SlotKey,
 }
 
 impl SlotPermit {
-    pub(super) fn new(desk: Arc<RequestDesk>, slot: SlotKey) -> Self {
-        Self { desk, slot }
+    pub(super) fn new(coordinator: Arc<RequestCoordinator>, slot: SlotKey) -> Self {
+        Self { coordinator, slot }
     }
 
     /// Returns the key of the slot.
@@ -76,24 +80,24 @@
 
 impl Drop for SlotPermit {
     fn drop(&mut self) {
-        self.desk.release(self.slot);
+        self.coordinator.release(self.slot);
     }
 }
 
-/// An open stream; dropping it counts one less.
+/// An open stream; dropping it frees its place within the limit.
 #[derive(Debug)]
 pub(super) struct StreamPermit {
-    desk: Arc<RequestDesk>,
+    coordinator: Arc<RequestCoordinator>,
 }
 
 impl StreamPermit {
-    pub(super) fn new(desk: Arc<RequestDesk>) -> Self {
-        Self { desk }
+    pub(super) fn new(coordinator: Arc<RequestCoordinator>) -> Self {
+        Self { coordinator }
     }
 }
 
 impl Drop for StreamPermit {
     fn drop(&mut self) {
-        self.desk.close_stream();
+        self.coordinator.close_stream();
     }
 }
--- a/src/agent/relay/tests.rs
+++ b/src/agent/relay/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of what agents add to requests for each other.
+//! Tests of the headers and messages that agents exchange.
 
 use http::{HeaderMap, HeaderValue, Method, Uri};
 use proptest::prelude::*;
 use rstest::rstest;
 
-use super::{NonceBook, PeerHead, PeerHeadError, PeerMessage, PeerPurpose};
+use super::{NonceCache, PeerHead, PeerHeadError, PeerMessage, PeerPurpose};
 use crate::{
     agent::tests::fixed_cases,
     clock::ClockMillis,
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_signed_head_is_accepted_and_taken_off() {
+fn a_signed_head_is_accepted_and_removed() {
     let ring = ring();
     let mut headers = signed(&ring);
     assert_eq!(verify(&ring, "/feed/start?pen=3", &mut headers), Ok(()));
@@ -70,11 +70,11 @@
 }
 
 #[test]
-fn a_nonce_is_taken_once() {
-    let mut nonces = NonceBook::default();
-    assert!(nonces.take(5, ClockMillis::ORIGIN));
-    assert!(!nonces.take(5, ClockMillis::new(69_999)));
-    assert!(nonces.take(6, ClockMillis::new(69_999)));
+fn a_replayed_nonce_is_rejected() {
+    let mut nonces = NonceCache::default();
+    assert!(nonces.insert(5, ClockMillis::ORIGIN));
+    assert!(!nonces.insert(5, ClockMillis::new(69_999)));
+    assert!(nonces.insert(6, ClockMillis::new(69_999)));
 }
 
 proptest! {
--- a/src/agent/relay/ticket_handover.rs
+++ b/src/agent/relay/ticket_handover.rs
@@ -7,7 +7,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-use super::{PeerHead, PeerPurpose, RequestDesk};
+use super::{PeerHead, PeerPurpose, RequestCoordinator};
 use crate::{
     agent::{AgentEvent, ticket::choose_heirs},
     event::log_event,
@@ -16,51 +16,51 @@
     secret::KeyRing,
 };
 
-/// How long a peer may take to take over.
-const HANDOVER_PATIENCE: Duration = Duration::from_secs(5);
-/// The path of the call; no upstream is asked for it.
+/// How long a peer may take to accept a handover.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
+/// The path of the call, which is never relayed to an upstream.
 const HANDOVER_PATH: &str = "/cyclamen/handover";
 
-/// Hands the tickets of an agent that stops over to its heirs.
-pub(crate) async fn hand_over_tickets(desk: &Arc<RequestDesk>) {
-    let handover = desk.close_ledger();
+/// Hands over the tickets of a stopping agent to its successors.
+pub(crate) async fn hand_over_tickets(coordinator: &Arc<RequestCoordinator>) {
+    let handover = coordinator.close_ledger();
     let Ok(body) = serde_json::to_vec(&handover) else {
         return;
     };
     let body = Bytes::from(body);
-    for heir in heirs(desk) {
-        let Some(peer) = desk.peer(heir) else {
+    for successor in successors(coordinator) {
+        let Some(peer) = coordinator.peer(successor) else {
             continue;
         };
-        let call = send_handover(peer.peer_address, body.clone(), desk);
-        let is_taken = tokio::time::timeout(HANDOVER_PATIENCE, call).await;
-        if is_taken.is_ok_and(|status| status == Some(StatusCode::NO_CONTENT)) {
-            log_event!(info, AgentEvent::TicketsHandedOver, %heir);
+        let call = send_handover(peer.peer_address, body.clone(), coordinator);
+        let result = tokio::time::timeout(HANDOVER_TIMEOUT, call).await;
+        if result.is_ok_and(|status| status == Some(StatusCode::NO_CONTENT)) {
+            log_event!(info, AgentEvent::TicketsHandedOver, heir = %successor);
         } else {
-            log_event!(warn, AgentEvent::HandoverFailed, %heir);
+            log_event!(warn, AgentEvent::HandoverFailed, heir = %successor);
         }
     }
 }
 
-fn heirs(desk: &RequestDesk) -> Vec<TargetKey> {
-    let own = desk.own();
-    let peers = desk.peers();
+fn successors(coordinator: &RequestCoordinator) -> Vec<TargetKey> {
+    let identity = coordinator.identity();
+    let peers = coordinator.peers();
     let staying = peers
         .iter()
         .filter(|entry| entry.phase != TargetPhase::Leaving)
         .map(|entry| entry.key);
-    choose_heirs(own.incarnation, staying)
+    choose_heirs(identity.incarnation, staying)
 }
 
 async fn send_handover(
     address: SocketAddrV4,
     body: Bytes,
-    desk: &RequestDesk,
+    coordinator: &RequestCoordinator,
 ) -> Option<StatusCode> {
     let stream = TcpStream::connect(address).await.ok()?;
     let (mut sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
     let driver = tokio::spawn(connection);
-    let request = handover_request(&body, &desk.secret().keys());
+    let request = handover_request(&body, &coordinator.secret().keys());
     let response = sender.send_request(request).await.ok();
     driver.abort();
     response.map(|response| response.status())
--- a/src/agent/relay/upstream_pool.rs
+++ b/src/agent/relay/upstream_pool.rs
@@ -3,16 +3,16 @@
     sync::{Arc, Mutex, MutexGuard, PoisonError},
 };
 
-use super::{LinkError, UpstreamLink};
+use super::{AttemptError, RelayConnection};
 
-/// Idle connections that are kept to the own upstream.
-const MOST_IDLE: usize = 8;
+/// The most idle connections kept open to the upstream.
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
-/// Connections to the own upstream.
+/// Pools idle connections to the agent's upstream.
 #[derive(Debug)]
 pub(super) struct UpstreamPool {
     address: SocketAddrV4,
-    idle: Mutex<Vec<UpstreamLink>>,
+    idle: Mutex<Vec<RelayConnection>>,
 }
 
 impl UpstreamPool {
@@ -24,45 +24,45 @@
         })
     }
 
-    /// Returns a connection; only an idempotent request gets a used one.
+    /// Returns a connection; only an idempotent request gets a pooled one.
     ///
-    /// An upstream may close an idle connection in the very moment in which a
-    /// request is written, and then nobody knows whether it ran.
+    /// An upstream may close an idle connection while a request is written, and
+    /// then it is unknown whether the request ran.
     ///
     /// # Errors
     ///
     /// Fails when the upstream accepts no connection.
-    pub(super) async fn take(&self, idempotent: bool) -> Result<UpstreamLink, LinkError> {
-        if idempotent && let Some(link) = self.take_idle() {
-            return Ok(link);
+    pub(super) async fn acquire(&self, idempotent: bool) -> Result<RelayConnection, AttemptError> {
+        if idempotent && let Some(connection) = self.pop_idle() {
+            return Ok(connection);
         }
-        UpstreamLink::connect(self.address).await
+        RelayConnection::connect(self.address).await
     }
 
-    /// Puts a connection back once its answer has ended.
-    pub(super) fn put_back(self: &Arc<Self>, mut link: UpstreamLink) {
+    /// Returns a connection to the pool once it is ready for another request.
+    pub(super) fn release(self: &Arc<Self>, mut connection: RelayConnection) {
         let pool = Arc::clone(self);
         tokio::spawn(async move {
-            if link.ready().await {
+            if connection.ready().await {
                 let mut idle = pool.lock();
-                if idle.len() < MOST_IDLE {
-                    idle.push(link);
+                if idle.len() < MAX_IDLE_CONNECTIONS {
+                    idle.push(connection);
                 }
             }
         });
     }
 
-    fn take_idle(&self) -> Option<UpstreamLink> {
+    fn pop_idle(&self) -> Option<RelayConnection> {
         let mut idle = self.lock();
-        while let Some(link) = idle.pop() {
-            if link.is_open() {
-                return Some(link);
+        while let Some(connection) = idle.pop() {
+            if connection.is_open() {
+                return Some(connection);
             }
         }
         None
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<UpstreamLink>> {
+    fn lock(&self) -> MutexGuard<'_, Vec<RelayConnection>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
