--- a/src/agent/endpoint/answer_paths.rs
+++ b/src/agent/endpoint/answer_paths.rs
@@ -7,15 +7,15 @@
     tunnel::PathHealth,
 };
 
-/// The most balancers that answers go by.
-const MOST_PATHS: usize = 16;
-/// The time after which a balancer that sent nothing is forgotten.
-const IDLE_MILLIS: SpanMillis = SpanMillis::new(30_000);
+/// The most balancers that are tracked as paths.
+const MAX_PATHS: usize = 16;
+/// How long a balancer may send nothing before its path is removed.
+const IDLE_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(30_000);
 
-/// The balancers that answers go by.
+/// The balancers through which answers are sent.
 ///
-/// Answers to one caller keep to one balancer while it answers probes, so
-/// that they stay in order; when it falls silent another takes over.
+/// Answers to one caller use the same balancer while it answers probes, so that
+/// they stay in order; once it is silent, another balancer replaces it.
 #[derive(Debug, Default)]
 pub(super) struct AnswerPaths {
     paths: Vec<AnswerPath>,
@@ -25,7 +25,7 @@
 struct AnswerPath {
     balancer: SocketAddrV4,
     health: PathHealth,
-    heard_at: ClockMillis,
+    last_frame_at: ClockMillis,
     is_silent: bool,
 }
 
@@ -34,10 +34,10 @@
 pub(super) struct AnswerChoice {
     /// The balancer's tunnel address.
     pub(super) balancer: SocketAddrV4,
-    /// The number that the frame asks to echo.
+    /// The number to be echoed, if the frame carries a probe.
     pub(super) echo: Option<u16>,
-    /// Whether a path was found silent just now.
-    pub(super) left: Option<SocketAddrV4>,
+    /// A balancer whose path has just been marked silent.
+    pub(super) newly_silent: Option<SocketAddrV4>,
 }
 
 impl AnswerPaths {
@@ -46,24 +46,24 @@
         Self::default()
     }
 
-    /// Notes that a frame came from `balancer`.
-    pub(super) fn hear(&mut self, balancer: SocketAddrV4, now: ClockMillis) {
+    /// Records a frame from `balancer`.
+    pub(super) fn record_frame(&mut self, balancer: SocketAddrV4, now: ClockMillis) {
         if let Some(path) = self.find(balancer) {
-            path.heard_at = now;
+            path.last_frame_at = now;
             return;
         }
-        if self.paths.len() >= MOST_PATHS && !self.make_room(now) {
+        if self.paths.len() >= MAX_PATHS && !self.evict_unusable(now) {
             return;
         }
         self.paths.push(AnswerPath {
             balancer,
             health: PathHealth::new(),
-            heard_at: now,
+            last_frame_at: now,
             is_silent: false,
         });
     }
 
-    /// Takes an echo from `balancer`.
+    /// Records an echo from `balancer`.
     pub(super) fn take_echo(&mut self, balancer: SocketAddrV4, number: u16) {
         if let Some(path) = self.find(balancer)
             && path.health.take_echo(number)
@@ -72,18 +72,20 @@
         }
     }
 
-    /// Forgets a balancer that is about to stop.
+    /// Removes a balancer that is about to stop.
     pub(super) fn forget(&mut self, balancer: SocketAddrV4) {
         self.paths.retain(|path| path.balancer != balancer);
     }
 
-    /// Returns how to send an answer to `caller`, if any balancer is known.
+    /// Chooses a path for an answer to `caller`; `None` if no balancer is known.
+    ///
+    /// Prefers confirmed paths, then unconfirmed ones, then silent or idle ones.
     pub(super) fn choose(
         &mut self,
         caller: SocketAddrV4,
         now: ClockMillis,
     ) -> Option<AnswerChoice> {
-        let left = self.mark_silent(now);
+        let newly_silent = self.mark_silent(now);
         let index = self
             .best_index(caller, |path| {
                 path.is_usable(now) && !path.health.is_doubtful(now)
@@ -94,13 +96,13 @@
         Some(AnswerChoice {
             balancer: path.balancer,
             echo: path.health.next_probe(now),
-            left,
+            newly_silent,
         })
     }
 
-    /// Returns the doubtful and silent balancers that a probe is due to.
+    /// Returns the due probes of unconfirmed and silent paths.
     ///
-    /// Since answers avoid silent ones, only these probes find them well again.
+    /// Answers avoid silent paths, so only these probes detect their recovery.
     pub(super) fn due_probes(&mut self, now: ClockMillis) -> Vec<(SocketAddrV4, u16)> {
         let probes = self.paths.iter_mut().filter_map(|path| {
             let number = if path.is_silent {
@@ -113,13 +115,13 @@
         probes.collect()
     }
 
-    /// Forgets the balancers that sent nothing for a while.
+    /// Removes the paths to idle balancers.
     pub(super) fn forget_idle(&mut self, now: ClockMillis) {
         self.paths
-            .retain(|path| now.since(path.heard_at) < IDLE_MILLIS);
+            .retain(|path| now.since(path.last_frame_at) < IDLE_TIMEOUT_MILLIS);
     }
 
-    /// Returns the balancers with whether each answers, for a dump.
+    /// Returns each balancer and whether its path is usable, for a dump.
     pub(super) fn list(&self, now: ClockMillis) -> Vec<(SocketAddrV4, bool)> {
         self.paths
             .iter()
@@ -148,32 +150,33 @@
     }
 
     fn mark_silent(&mut self, now: ClockMillis) -> Option<SocketAddrV4> {
-        let mut left = None;
+        let mut newly_silent = None;
         for path in &mut self.paths {
             if path.health.is_silent(now) {
                 path.health = path.health.moved();
                 if !path.is_silent {
-                    left = Some(path.balancer);
+                    newly_silent = Some(path.balancer);
                 }
                 path.is_silent = true;
             }
         }
-        left
+        newly_silent
     }
 
-    /// Drops an idle or silent path in favour of a new one.
-    fn make_room(&mut self, now: ClockMillis) -> bool {
-        let spare = self
-            .paths
-            .iter()
-            .position(|path| now.since(path.heard_at) >= IDLE_MILLIS || !path.is_usable(now));
-        spare.map(|index| self.paths.swap_remove(index)).is_some()
+    /// Removes one idle or silent path; returns false if there is none.
+    fn evict_unusable(&mut self, now: ClockMillis) -> bool {
+        let unusable = self.paths.iter().position(|path| {
+            now.since(path.last_frame_at) >= IDLE_TIMEOUT_MILLIS || !path.is_usable(now)
+        });
+        unusable
+            .map(|index| self.paths.swap_remove(index))
+            .is_some()
     }
 }
 
 impl AnswerPath {
     fn is_usable(&self, now: ClockMillis) -> bool {
-        let is_fresh = now.since(self.heard_at) < IDLE_MILLIS;
+        let is_fresh = now.since(self.last_frame_at) < IDLE_TIMEOUT_MILLIS;
         is_fresh && !self.is_silent
     }
 }
--- a/src/agent/endpoint/connection_refusal.rs
+++ b/src/agent/endpoint/connection_refuser.rs
@@ -5,31 +5,31 @@
 
 use crate::clock::SpanMillis;
 
-/// Refusals with a reason that run at once; more are refused without one.
-const MOST_REASONED: usize = 32;
+/// The most concurrent refusals with a reason; further ones carry none.
+const MAX_REASONED_REFUSALS: usize = 32;
 /// How long the handshake of a refused connection may take.
-const HANDSHAKE_LIMIT: Duration = Duration::from_secs(3);
-/// The code of a connection that is refused under load (RFC 9114).
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
+/// `H3_EXCESSIVE_LOAD` (RFC 9114).
 const EXCESSIVE_LOAD: VarInt = VarInt::from_u32(0x107);
 
-/// Refuses connections and tells callers when to come back.
+/// Refuses connections and tells callers when to retry.
 ///
-/// QUIC refuses a handshake without a reason; only a connection that stands
-/// can be closed with one, so a few at a time are let that far.
+/// A handshake is refused without a reason; only an established connection can
+/// be closed with one, so a limited number completes the handshake first.
 #[derive(Debug, Clone)]
-pub(crate) struct RefusalDesk {
+pub(crate) struct ConnectionRefuser {
     permits: Arc<Semaphore>,
 }
 
-impl RefusalDesk {
-    /// Creates a desk that refuses nothing yet.
+impl ConnectionRefuser {
+    /// Creates a refuser with all its permits free.
     pub(crate) fn new() -> Self {
         Self {
-            permits: Arc::new(Semaphore::new(MOST_REASONED)),
+            permits: Arc::new(Semaphore::new(MAX_REASONED_REFUSALS)),
         }
     }
 
-    /// Refuses a connection at once.
+    /// Refuses a connection, with a reason if a permit is free.
     pub(crate) fn refuse(&self, incoming: Incoming, retry_after: SpanMillis) {
         let Ok(permit) = Arc::clone(&self.permits).try_acquire_owned() else {
             incoming.refuse();
@@ -37,8 +37,8 @@
         };
         tokio::spawn(async move {
             let _permit = permit;
-            // A caller that leaves within its handshake needs no reason.
-            if let Ok(Ok(connection)) = timeout(HANDSHAKE_LIMIT, incoming).await {
+            // A caller that gives up during the handshake gets no reason.
+            if let Ok(Ok(connection)) = timeout(HANDSHAKE_TIMEOUT, incoming).await {
                 let reason = format!("not run; come back in {retry_after}");
                 connection.close(EXCESSIVE_LOAD, reason.as_bytes());
             }
--- a/src/agent/endpoint/endpoint_socket.rs
+++ b/src/agent/endpoint/endpoint_socket.rs
@@ -11,7 +11,7 @@
 use tokio::io::ReadBuf;
 
 use super::{
-    TunnelPoller, TunnelSocket, tunnel_counters::TunnelCount, tunnel_socket::LONGEST_FRAME_BYTES,
+    TunnelPoller, TunnelSocket, tunnel_counters::CounterKind, tunnel_socket::MAX_FRAME_BYTES,
 };
 use crate::{
     agent::AgentEvent,
@@ -20,8 +20,8 @@
     tunnel::{FrameHeader, FrameKind},
 };
 
-/// Where an answer goes and whether its frame asks for an echo.
-struct FrameAddress {
+/// The balancer for an answer, and the number to be echoed if the frame probes.
+struct AnswerDestination {
     balancer: SocketAddrV4,
     echo: Option<u16>,
 }
@@ -36,8 +36,8 @@
             return Err(io::ErrorKind::AddrNotAvailable.into());
         };
         let Some(path) = self.choose_path(caller, self.clock.now()) else {
-            // The endpoint sends again later, as for any lost packet.
-            self.counters.add(TunnelCount::Unsent);
+            // QUIC retransmits it like any lost packet.
+            self.counters.increment(CounterKind::Unsent);
             return Ok(());
         };
         let header = FrameHeader::new(FrameKind::Answer, self.identity.service, caller)
@@ -46,11 +46,11 @@
         match self.try_send_frame(path.balancer, &header, transmit.contents) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => Err(error),
             Err(_) => {
-                self.counters.add(TunnelCount::Unsent);
+                self.counters.increment(CounterKind::Unsent);
                 Ok(())
             }
             Ok(()) => {
-                self.counters.add(TunnelCount::Answered);
+                self.counters.increment(CounterKind::Answered);
                 Ok(())
             }
         }
@@ -62,22 +62,22 @@
         buffers: &mut [IoSliceMut<'_>],
         meta: &mut [RecvMeta],
     ) -> Poll<io::Result<usize>> {
-        let mut bytes = [0; LONGEST_FRAME_BYTES];
+        let mut bytes = [0; MAX_FRAME_BYTES];
         loop {
             let mut frame = ReadBuf::new(&mut bytes);
             let source = match ready!(self.io.poll_recv_from(context, &mut frame)) {
                 Ok(SocketAddr::V4(source)) => source,
-                // An unreachable peer shows up here; it concerns no caller.
+                // Errors here come from unreachable peers and affect no caller.
                 Ok(SocketAddr::V6(_)) | Err(_) => continue,
             };
-            let Some((header, datagram)) = self.take_frame(source, frame.filled()) else {
+            let Some((header, datagram)) = self.handle_frame(source, frame.filled()) else {
                 continue;
             };
             let Some(buffer) = buffers[0].get_mut(..datagram.len()) else {
                 continue;
             };
             buffer.copy_from_slice(datagram);
-            self.counters.add(TunnelCount::Delivered);
+            self.counters.increment(CounterKind::Delivered);
             meta[0] = RecvMeta {
                 addr: SocketAddr::V4(header.caller),
                 len: datagram.len(),
@@ -99,14 +99,14 @@
 }
 
 impl TunnelSocket {
-    /// Returns how to send an answer to `caller` now.
-    fn choose_path(&self, caller: SocketAddrV4, now: ClockMillis) -> Option<FrameAddress> {
+    /// Chooses the balancer for an answer to `caller`.
+    fn choose_path(&self, caller: SocketAddrV4, now: ClockMillis) -> Option<AnswerDestination> {
         let choice = self.lock_paths().choose(caller, now)?;
-        if let Some(balancer) = choice.left {
-            self.counters.add(TunnelCount::LeftPath);
+        if let Some(balancer) = choice.newly_silent {
+            self.counters.increment(CounterKind::LeftPath);
             log_event!(warn, AgentEvent::PathLeft, %balancer);
         }
-        Some(FrameAddress {
+        Some(AnswerDestination {
             balancer: choice.balancer,
             echo: choice.echo,
         })
--- a/src/agent/endpoint/epoch_reset_key.rs
+++ b/src/agent/endpoint/epoch_reset_key.rs
@@ -6,17 +6,17 @@
 /// The length of an HMAC-SHA256 signature, in bytes.
 const SIGNATURE_BYTES: usize = 32;
 
-/// Derives reset tokens with the key of the epoch that a connection ID names.
+/// Derives stateless reset tokens with the key of the connection ID's epoch.
 ///
-/// Every run of every agent derives the same token, so one that restarted can
-/// tell a caller at once that its connection is gone.
+/// Every run of every agent derives the same token, so a restarted agent can
+/// reset the connections of its earlier run.
 #[derive(Debug)]
 pub(super) struct EpochResetKey {
     secret: SecretStore,
 }
 
 impl EpochResetKey {
-    /// Creates the key of this deployment.
+    /// Creates a key from the deployment secret.
     pub(super) fn new(secret: SecretStore) -> Self {
         Self { secret }
     }
--- a/src/agent/endpoint/first_packet.rs
+++ b/src/agent/endpoint/first_packet_gate.rs
@@ -11,12 +11,12 @@
     route::TargetChain,
 };
 
-/// What becomes of a first packet at this agent.
+/// The decision on a first packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum FirstVerdict {
-    /// The endpoint gets it, and accepts or refuses the connection.
+pub(super) enum FirstPacketVerdict {
+    /// Deliver it to the endpoint, which accepts or refuses the connection.
     Deliver,
-    /// The next candidate gets it.
+    /// Pass it on to the next candidate.
     PassOn {
         /// The next candidate.
         next: TargetKey,
@@ -25,31 +25,31 @@
     },
 }
 
-/// Applies the admission gate to first packets.
+/// Applies the admission gate to first packets; shared by several tasks.
 #[derive(Debug)]
 pub(super) struct FirstPacketGate {
     gate: Mutex<AdmissionGate>,
 }
 
 impl FirstPacketGate {
-    /// Wraps the gate for use by several tasks.
+    /// Wraps the admission gate.
     pub(super) fn new(gate: AdmissionGate) -> Self {
         Self {
             gate: Mutex::new(gate),
         }
     }
 
-    /// Returns the gate for a short use.
+    /// Locks the admission gate.
     pub(super) fn lock(&self) -> MutexGuard<'_, AdmissionGate> {
         self.gate.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Puts another phase in force.
+    /// Sets the phase of the agent.
     pub(super) fn set_phase(&self, phase: AgentPhase) {
         self.lock().set_phase(phase);
     }
 
-    /// Returns what becomes of a first packet with the candidates `chain` left.
+    /// Decides on a first packet; `chain` holds the candidates after this agent.
     pub(super) fn decide(
         &self,
         destination: &[u8],
@@ -57,9 +57,9 @@
         next_load: Option<PeerLoad>,
         gauge: &LoadGauge,
         now: ClockMillis,
-    ) -> FirstVerdict {
+    ) -> FirstPacketVerdict {
         let Some(cid) = ClientCid::new(destination) else {
-            return FirstVerdict::Deliver;
+            return FirstPacketVerdict::Deliver;
         };
         let place = if chain.is_empty() {
             CandidatePlace::Last
@@ -73,12 +73,14 @@
         };
         let verdict = self.lock().admit(offer, gauge.read(), now);
         match (verdict, chain.split_first()) {
-            (AdmissionVerdict::PassOn, Some((next, rest))) => FirstVerdict::PassOn { next, rest },
-            _ => FirstVerdict::Deliver,
+            (AdmissionVerdict::PassOn, Some((next, rest))) => {
+                FirstPacketVerdict::PassOn { next, rest }
+            }
+            _ => FirstPacketVerdict::Deliver,
         }
     }
 
-    /// Returns the verdict on a connection that the endpoint offers.
+    /// Returns the verdict on a connection attempt at the endpoint.
     pub(super) fn verdict(
         &self,
         destination: &[u8],
--- a/src/agent/endpoint/frame_intake.rs
+++ b/src/agent/endpoint/frame_dispatch.rs
@@ -1,6 +1,6 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use super::{FirstVerdict, PeerDatagram, TunnelSocket, tunnel_counters::TunnelCount};
+use super::{FirstPacketVerdict, PeerDatagram, TunnelSocket, tunnel_counters::CounterKind};
 use crate::{
     agent::AgentEvent,
     event::log_event,
@@ -9,13 +9,13 @@
     tunnel::{FrameHeader, FrameKind},
 };
 
-/// The bytes of a balancer's address before a passed-on datagram.
+/// The length of the balancer's address before a passed-on datagram.
 const ADDRESS_BYTES: usize = 6;
 
-/// What the agent does with the frames that it receives.
+/// Handling of received frames.
 impl TunnelSocket {
-    /// Takes a frame; returns the caller and the bytes for the endpoint.
-    pub(super) fn take_frame<'a>(
+    /// Handles a frame; returns its header and the datagram for the endpoint.
+    pub(super) fn handle_frame<'a>(
         &self,
         source: SocketAddrV4,
         frame: &'a [u8],
@@ -24,14 +24,14 @@
         let (header, payload) = match read {
             Ok(frame) => frame,
             Err(error) => {
-                self.counters.add(TunnelCount::BadFrame);
+                self.counters.increment(CounterKind::BadFrame);
                 log_event!(debug, AgentEvent::FrameRefused, %source, %error);
                 return None;
             }
         };
         match header.kind {
-            FrameKind::Forward => self.take_forward(source, header, payload),
-            FrameKind::PassOn => self.take_passed_on(header, payload),
+            FrameKind::Forward => self.handle_forward(source, header, payload),
+            FrameKind::PassOn => self.handle_passed_on(header, payload),
             FrameKind::Probe => {
                 self.send_echo(source, &header);
                 None
@@ -41,7 +41,7 @@
                 None
             }
             FrameKind::Peer => {
-                self.take_peer(source, payload);
+                self.handle_peer_message(source, payload);
                 None
             }
             FrameKind::Leave => {
@@ -49,35 +49,35 @@
                 None
             }
             FrameKind::Answer => {
-                self.counters.add(TunnelCount::BadFrame);
+                self.counters.increment(CounterKind::BadFrame);
                 None
             }
         }
     }
 
-    fn take_forward<'a>(
+    fn handle_forward<'a>(
         &self,
         balancer: SocketAddrV4,
         header: FrameHeader,
         datagram: &'a [u8],
     ) -> Option<(FrameHeader, &'a [u8])> {
-        self.lock_paths().hear(balancer, self.clock.now());
+        self.lock_paths().record_frame(balancer, self.clock.now());
         self.send_echo(balancer, &header);
         self.route_datagram(balancer, header, datagram)
     }
 
-    fn take_passed_on<'a>(
+    fn handle_passed_on<'a>(
         &self,
         header: FrameHeader,
         payload: &'a [u8],
     ) -> Option<(FrameHeader, &'a [u8])> {
         let (address, datagram) = payload.split_at_checked(ADDRESS_BYTES)?;
-        let balancer = read_address(address);
-        self.lock_paths().hear(balancer, self.clock.now());
+        let balancer = parse_address(address);
+        self.lock_paths().record_frame(balancer, self.clock.now());
         self.route_datagram(balancer, header, datagram)
     }
 
-    /// Checks that a datagram belongs here, and applies the admission gate.
+    /// Checks that a datagram is for this agent, and gates first packets.
     fn route_datagram<'a>(
         &self,
         balancer: SocketAddrV4,
@@ -91,15 +91,15 @@
             return None;
         }
         match route {
-            Some(route) => self.check_route(route).then_some((header, datagram)),
-            None => self.gate_first(balancer, header, &packet, datagram),
+            Some(route) => self.belongs_here(route).then_some((header, datagram)),
+            None => self.apply_gate(balancer, header, &packet, datagram),
         }
     }
 
     /// Refuses a datagram of another service.
     ///
-    /// If its connection ended at this address before, the target is gone for
-    /// good, and the caller is told so.
+    /// If its connection belonged to an earlier target at this address, that
+    /// target is gone, and the caller gets a stateless reset.
     fn refuse_service(
         &self,
         balancer: SocketAddrV4,
@@ -107,7 +107,7 @@
         route: Option<ConnectionRoute>,
         datagram: &[u8],
     ) {
-        self.counters.add(TunnelCount::OtherService);
+        self.counters.increment(CounterKind::OtherService);
         log_event!(debug, AgentEvent::OtherService, service = %header.service);
         let ended_here = route.is_some_and(|route| {
             route.service == header.service && route.target == self.identity.target
@@ -117,20 +117,20 @@
         }
     }
 
-    fn check_route(&self, route: ConnectionRoute) -> bool {
+    fn belongs_here(&self, route: ConnectionRoute) -> bool {
         if route.service != self.identity.service || route.target != self.identity.target {
-            self.counters.add(TunnelCount::OtherTarget);
+            self.counters.increment(CounterKind::OtherTarget);
             log_event!(debug, AgentEvent::OtherTarget, target = %route.target);
             return false;
         }
         if route.incarnation_tag != self.identity.incarnation.tag() {
-            // The endpoint does not know the ID and answers with a reset.
-            self.counters.add(TunnelCount::OtherIncarnation);
+            // The endpoint does not know the ID and sends a stateless reset.
+            self.counters.increment(CounterKind::OtherIncarnation);
         }
         true
     }
 
-    fn gate_first<'a>(
+    fn apply_gate<'a>(
         &self,
         balancer: SocketAddrV4,
         header: FrameHeader,
@@ -152,8 +152,8 @@
             self.clock.now(),
         );
         match verdict {
-            FirstVerdict::Deliver => Some((header, datagram)),
-            FirstVerdict::PassOn { next, rest } => {
+            FirstPacketVerdict::Deliver => Some((header, datagram)),
+            FirstPacketVerdict::PassOn { next, rest } => {
                 self.pass_on(balancer, &header, next, rest, datagram);
                 None
             }
@@ -176,7 +176,7 @@
             .with_chain(rest)
             .with_ecn(header.ecn);
         self.send_frame(next.address(), &header, &payload);
-        self.counters.add(TunnelCount::PassedOn);
+        self.counters.increment(CounterKind::PassedOn);
     }
 
     fn take_echo(&self, balancer: SocketAddrV4, header: &FrameHeader) {
@@ -185,18 +185,18 @@
         }
     }
 
-    fn take_peer(&self, source: SocketAddrV4, payload: &[u8]) {
+    fn handle_peer_message(&self, source: SocketAddrV4, payload: &[u8]) {
         let datagram = PeerDatagram {
             source: TargetKey::new(source),
             payload: payload.to_vec(),
         };
         if self.inbox.try_send(datagram).is_err() {
-            self.counters.add(TunnelCount::Unsent);
+            self.counters.increment(CounterKind::Unsent);
         }
     }
 }
 
-fn read_address(bytes: &[u8]) -> SocketAddrV4 {
+fn parse_address(bytes: &[u8]) -> SocketAddrV4 {
     let ip = Ipv4Addr::new(bytes[0], bytes[1], bytes[2], bytes[3]);
     SocketAddrV4::new(ip, u16::from_be_bytes([bytes[4], bytes[5]]))
 }
--- a/src/agent/endpoint/load_gauge.rs
+++ b/src/agent/endpoint/load_gauge.rs
@@ -4,7 +4,7 @@
 
 use crate::{agent::admission::TargetLoad, manifest::ServiceLimits};
 
-/// How much the target has to do now, kept by the tasks that do it.
+/// The target's current load, updated by the tasks that cause it.
 #[derive(Debug)]
 pub(crate) struct LoadGauge {
     requests: AtomicU32,
@@ -14,7 +14,7 @@
 }
 
 impl LoadGauge {
-    /// Creates a gauge of an idle target.
+    /// Creates the gauge of an idle target.
     pub(crate) fn new(limits: ServiceLimits) -> Self {
         let gauge = Self {
             requests: AtomicU32::new(0),
@@ -26,7 +26,7 @@
         gauge
     }
 
-    /// Puts the limits of a changed manifest in force.
+    /// Sets the limits from the manifest.
     pub(crate) fn set_limits(&self, limits: ServiceLimits) {
         self.slots.store(u32::from(limits.slots), Ordering::Relaxed);
         self.connection_limit
@@ -44,7 +44,7 @@
         self.connections.store(connections, Ordering::Relaxed);
     }
 
-    /// Returns the load now.
+    /// Returns the current load.
     pub(crate) fn read(&self) -> TargetLoad {
         TargetLoad {
             requests: self.requests.load(Ordering::Relaxed),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Offers the load as metrics.
+    /// Publishes the load as metrics.
     pub(crate) fn publish(&self) {
         let load = self.read();
         gauge!("cyclamen_agent_requests").set(load.requests);
--- a/src/agent/endpoint/reset_writer.rs
+++ b/src/agent/endpoint/reset_writer.rs
@@ -11,18 +11,18 @@
 
 /// The length of a reset token, in bytes.
 const TOKEN_BYTES: usize = 16;
-/// The least bytes before the token (RFC 9000, section 10.3).
-const LEAST_PADDING_BYTES: usize = 5;
+/// The fewest bytes before the token (RFC 9000, section 10.3).
+const MIN_PADDING_BYTES: usize = 5;
 /// The most bytes before the token.
-const MOST_PADDING_BYTES: usize = 24;
-/// Makes a first byte look like that of a short header.
+const MAX_PADDING_BYTES: usize = 24;
+/// The first byte's fixed bit, without the long-header bit.
 const SHORT_HEADER_BIT: u8 = 0x40;
-/// The bits of a first byte that are drawn at random.
+/// The random bits of the first byte.
 const RANDOM_BITS: u8 = 0x3f;
-/// The least time between two resets.
+/// The minimum interval between two resets.
 const RESET_INTERVAL_MILLIS: SpanMillis = SpanMillis::new(1);
 
-/// Writes stateless resets for connections that no endpoint here knows.
+/// Writes stateless resets for connections unknown to the endpoint.
 #[derive(Debug)]
 pub(super) struct ResetWriter {
     key: EpochResetKey,
@@ -30,7 +30,7 @@
 }
 
 impl ResetWriter {
-    /// Creates a writer with the reset keys of this deployment.
+    /// Creates a writer with the reset keys of the deployment secret.
     pub(super) fn new(secret: SecretStore) -> Self {
         Self {
             key: EpochResetKey::new(secret),
@@ -38,22 +38,22 @@
         }
     }
 
-    /// Returns the reset that answers `datagram`, smaller than that.
+    /// Returns a reset for `datagram`, smaller than it to prevent loops.
     ///
-    /// It returns `None` for a long header, for a datagram that is too small
-    /// to be answered, and when another reset was written just now.
+    /// Returns `None` for a long header, for a datagram that is too small, and
+    /// within the minimum interval after another reset.
     pub(super) fn write(&self, datagram: &[u8], now: ClockMillis) -> Option<Vec<u8>> {
         let header = PacketHeader::read(datagram)?;
         if header.kind == PacketKind::Long {
             return None;
         }
         let room = datagram.len().checked_sub(TOKEN_BYTES + 1)?;
-        if room < LEAST_PADDING_BYTES || !self.is_due(now) {
+        if room < MIN_PADDING_BYTES || !self.is_due(now) {
             return None;
         }
         let mut token = vec![0; self.key.signature_len()];
         self.key.sign(header.destination, &mut token);
-        let mut reset: Vec<u8> = (0..room.min(MOST_PADDING_BYTES))
+        let mut reset: Vec<u8> = (0..room.min(MAX_PADDING_BYTES))
             .map(|_| rand::random())
             .collect();
         reset[0] = SHORT_HEADER_BIT | (reset[0] & RANDOM_BITS);
--- a/src/agent/endpoint/route_id_generator.rs
+++ b/src/agent/endpoint/route_id_generator.rs
@@ -15,12 +15,12 @@
     secret::SecretStore,
 };
 
-/// Issues connection IDs that carry the route to this agent.
+/// Generates connection IDs that encode the route to this agent.
 #[derive(Debug)]
 pub(super) struct RouteIdGenerator {
     identity: TargetIdentity,
     secret: SecretStore,
-    life: SpanMillis,
+    lifetime: SpanMillis,
     nonce: Arc<AtomicU32>,
 }
 
@@ -29,13 +29,13 @@
     pub(super) fn new(
         identity: TargetIdentity,
         secret: SecretStore,
-        life: SpanMillis,
+        lifetime: SpanMillis,
         nonce: Arc<AtomicU32>,
     ) -> Self {
         Self {
             identity,
             secret,
-            life,
+            lifetime,
             nonce,
         }
     }
@@ -52,8 +52,8 @@
         ConnectionId::new(&route.seal(&self.secret.keys()))
     }
 
-    /// Accepts every ID of the deployment, so that those of an earlier run of
-    /// this agent are answered with a stateless reset.
+    /// Accepts every ID of the deployment, so that IDs of an earlier run of this
+    /// agent get a stateless reset.
     fn validate(&self, id: &ConnectionId) -> Result<(), InvalidCid> {
         ConnectionRoute::open(id, &self.secret.keys())
             .map(|_| ())
@@ -65,6 +65,6 @@
     }
 
     fn cid_lifetime(&self) -> Option<Duration> {
-        Some(self.life.duration())
+        Some(self.lifetime.duration())
     }
 }
--- a/src/agent/endpoint/target_identity.rs
+++ b/src/agent/endpoint/target_identity.rs
@@ -1,6 +1,6 @@
 use crate::key::{IncarnationId, ServiceNumber, TargetKey};
 
-/// Who this agent is, as its connection IDs say.
+/// The identity of this agent as encoded in its connection IDs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct TargetIdentity {
     /// The service of the upstream.
--- a/src/agent/endpoint/tests/answer_choice.rs
+++ b/src/agent/endpoint/tests/answer_path_choice.rs
@@ -1,4 +1,4 @@
-//! Which balancer an answer goes by.
+//! Tests of the choice of a balancer for answers.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -13,12 +13,17 @@
 }
 
 /// Sends an answer each 50 ms while `live` balancers echo; returns the last choice.
-fn drive(paths: &mut AnswerPaths, from: u64, until: u64, live: &[u8]) -> Option<SocketAddrV4> {
+fn run_answers(
+    paths: &mut AnswerPaths,
+    from: u64,
+    until: u64,
+    live: &[u8],
+) -> Option<SocketAddrV4> {
     let mut last = None;
     for at in (from..until).step_by(50) {
         let now = ClockMillis::new(at);
         for index in live {
-            paths.hear(balancer(*index), now);
+            paths.record_frame(balancer(*index), now);
         }
         let mut probes = paths.due_probes(now);
         let choice = paths.choose(caller(1), now)?;
@@ -36,48 +41,48 @@
 #[test]
 fn answers_to_one_caller_keep_to_one_balancer() {
     let mut paths = AnswerPaths::new();
-    let first = drive(&mut paths, 0, 100, &[1, 2, 3]);
-    assert_eq!(drive(&mut paths, 100, 20_000, &[1, 2, 3]), first);
+    let first = run_answers(&mut paths, 0, 100, &[1, 2, 3]);
+    assert_eq!(run_answers(&mut paths, 100, 20_000, &[1, 2, 3]), first);
 }
 
 #[test]
-fn a_dead_balancer_is_left_within_a_second_and_not_tried_again() {
+fn a_dead_balancer_is_avoided_within_a_second_and_not_used_again() {
     let mut paths = AnswerPaths::new();
-    let dead = drive(&mut paths, 0, 2_000, &[1, 2, 3]).expect("a balancer");
+    let dead = run_answers(&mut paths, 0, 2_000, &[1, 2, 3]).expect("a balancer");
     let live: Vec<u8> = (1..=3).filter(|index| balancer(*index) != dead).collect();
-    drive(&mut paths, 2_000, 3_000, &live);
+    run_answers(&mut paths, 2_000, 3_000, &live);
     for at in (3_000..20_000).step_by(500) {
-        assert_ne!(drive(&mut paths, at, at + 500, &live), Some(dead));
+        assert_ne!(run_answers(&mut paths, at, at + 500, &live), Some(dead));
     }
 }
 
 #[test]
 fn a_balancer_that_comes_back_is_used_again() {
     let mut paths = AnswerPaths::new();
-    let first = drive(&mut paths, 0, 2_000, &[1, 2]).expect("a balancer");
+    let first = run_answers(&mut paths, 0, 2_000, &[1, 2]).expect("a balancer");
     let other = if first == balancer(1) { 2 } else { 1 };
-    drive(&mut paths, 2_000, 5_000, &[other]);
-    assert_eq!(drive(&mut paths, 5_000, 9_000, &[1, 2]), Some(first));
+    run_answers(&mut paths, 2_000, 5_000, &[other]);
+    assert_eq!(run_answers(&mut paths, 5_000, 9_000, &[1, 2]), Some(first));
 }
 
 #[test]
-fn the_set_stays_small_and_makes_room_for_newcomers() {
+fn the_set_is_bounded_and_evicts_idle_balancers() {
     let mut paths = AnswerPaths::new();
     for index in 0..100 {
-        paths.hear(balancer(index), ClockMillis::ORIGIN);
+        paths.record_frame(balancer(index), ClockMillis::ORIGIN);
     }
     assert_eq!(paths.list(ClockMillis::ORIGIN).len(), 16);
     let later = ClockMillis::new(40_000);
-    paths.hear(balancer(200), later);
+    paths.record_frame(balancer(200), later);
     let choice = paths.choose(caller(1), later).expect("a balancer");
     assert_eq!(choice.balancer, balancer(200));
 }
 
 #[test]
-fn a_single_answer_is_enough_to_find_a_dead_balancer() {
+fn one_unanswered_packet_is_enough_to_detect_a_dead_balancer() {
     let mut paths = AnswerPaths::new();
-    let dead = drive(&mut paths, 0, 2_000, &[1, 2]).expect("a balancer");
-    // One handshake packet goes out; the caller repeats nothing for a second.
+    let dead = run_answers(&mut paths, 0, 2_000, &[1, 2]).expect("a balancer");
+    // One handshake packet is sent; the caller retransmits nothing for a second.
     paths.choose(caller(1), ClockMillis::new(2_300));
     for at in (2_400..3_300).step_by(100) {
         paths.due_probes(ClockMillis::new(at));
@@ -87,15 +92,15 @@
 }
 
 #[test]
-fn an_answer_sent_just_after_an_echo_is_proved_too() {
+fn a_path_is_probed_after_an_answer_sent_between_probes() {
     let mut paths = AnswerPaths::new();
-    let dead = drive(&mut paths, 0, 2_000, &[1, 2]).expect("a balancer");
+    let dead = run_answers(&mut paths, 0, 2_000, &[1, 2]).expect("a balancer");
     let probe = paths.choose(caller(1), ClockMillis::new(2_300));
     let number = probe
         .and_then(|choice| choice.echo)
         .expect("a probe is due");
     paths.take_echo(dead, number);
-    // The balancer dies here; the next answer is too early for a probe.
+    // The balancer dies here; the next answer comes too early to carry a probe.
     let answer = paths
         .choose(caller(1), ClockMillis::new(2_310))
         .expect("a balancer");
--- a/src/agent/endpoint/tests/crossed_copies.rs
+++ b/src/agent/endpoint/tests/duplicated_first_packets.rs
@@ -1,4 +1,5 @@
-//! Two agents get copies of every first packet; the handshake picks one.
+//! Two agents get copies of every first packet; each caller must still get
+//! exactly one working connection.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, SocketAddrV4},
@@ -16,7 +17,7 @@
 use crate::{
     agent::{
         admission::{AcceptRule, AdmissionGate, AgentPhase},
-        endpoint::{LoadGauge, PEER_INBOX, TargetIdentity, TunnelSocket, open_endpoint},
+        endpoint::{LoadGauge, PEER_INBOX_CAPACITY, TargetIdentity, TunnelSocket, open_endpoint},
     },
     clock::SpanMillis,
     key::{IncarnationId, ServiceNumber, TargetKey},
@@ -41,7 +42,7 @@
     (socket, address)
 }
 
-/// Starts an agent's endpoint that echoes what each stream brings.
+/// Starts an agent's endpoint.
 async fn start_agent(
     secret: &SecretStore,
     certificates: CertificateStore,
@@ -55,10 +56,10 @@
     };
     let gate = AdmissionGate::new(AcceptRule::HashOnly, AgentPhase::Serving);
     let gauge = Arc::new(LoadGauge::new(ServiceLimits::default()));
-    let (inbox, _) = mpsc::channel(PEER_INBOX);
+    let (inbox, _) = mpsc::channel(PEER_INBOX_CAPACITY);
     let socket = TunnelSocket::new(io, identity, secret.clone(), gate, gauge, inbox);
-    let life = SpanMillis::new(60_000);
-    let endpoint = open_endpoint(Arc::new(socket), secret.clone(), certificates, life)
+    let lifetime = SpanMillis::new(60_000);
+    let endpoint = open_endpoint(Arc::new(socket), secret.clone(), certificates, lifetime)
         .expect("a good certificate");
     (endpoint, target)
 }
@@ -66,7 +67,7 @@
 async fn serve_echo(endpoint: Endpoint) {
     while let Some(incoming) = endpoint.accept().await {
         tokio::spawn(async move {
-            // The copy that lost never finishes its handshake.
+            // The agent that loses the race never completes the handshake.
             let Ok(connection) = incoming.await else {
                 return;
             };
@@ -80,8 +81,9 @@
     }
 }
 
-/// Forwards by connection ID; first packets go to both agents, in turn first.
-async fn copy_first_packets(
+/// Forwards by connection ID; sends first packets to both agents, in
+/// alternating order.
+async fn duplicate_first_packets(
     service: UdpSocket,
     tunnel: UdpSocket,
     secret: SecretStore,
@@ -138,7 +140,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_caller_gets_one_whole_connection_though_all_first_packets_are_copied() {
+async fn every_caller_gets_one_connection_when_first_packets_are_duplicated() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let files = TestCertificate::new(&["echo"])
         .and_then(|certificate| certificate.write(folder.path()))
@@ -153,7 +155,7 @@
     let mut tasks: JoinSet<()> = JoinSet::new();
     tasks.spawn(serve_echo(first));
     tasks.spawn(serve_echo(second));
-    tasks.spawn(copy_first_packets(service, tunnel, secret, agents));
+    tasks.spawn(duplicate_first_packets(service, tunnel, secret, agents));
 
     let trust = ServerTrust::load(&folder.path().join("root.pem")).expect("own root");
     let crypto = QuicClientConfig::try_from(client_config(trust).expect("settings"));
--- a/src/agent/endpoint/tests/mod.rs
+++ b/src/agent/endpoint/tests/mod.rs
@@ -1,5 +1,5 @@
-//! Tests of the endpoint's parts behind the tunnel.
+//! Tests of the QUIC endpoint behind the tunnel.
 
-mod answer_choice;
-mod crossed_copies;
+mod answer_path_choice;
+mod duplicated_first_packets;
 mod reset_tokens;
--- a/src/agent/endpoint/tests/reset_tokens.rs
+++ b/src/agent/endpoint/tests/reset_tokens.rs
@@ -1,4 +1,4 @@
-//! Reset tokens are the same in every run of every agent.
+//! Reset tokens must be the same in every run of every agent.
 
 use quinn_proto::crypto::HmacKey;
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_token_outlives_a_restart_and_a_rotation() {
+fn a_token_is_unchanged_after_a_restart_and_a_rotation() {
     let before = SecretStore::new(&secret(1, &[1])).expect("a good secret");
     let route = ConnectionRoute {
         service: ServiceNumber::new(4),
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_reset_ends_in_the_token_and_is_smaller_than_what_it_answers() {
+fn a_reset_ends_with_the_token_and_is_smaller_than_its_trigger() {
     let store = SecretStore::new(&secret(1, &[1])).expect("a good secret");
     let route = ConnectionRoute {
         service: ServiceNumber::new(4),
--- a/src/agent/endpoint/tunnel_counters.rs
+++ b/src/agent/endpoint/tunnel_counters.rs
@@ -3,47 +3,48 @@
 use metrics::counter;
 use serde::Serialize;
 
-/// What the agent's tunnel has counted since the start.
+/// Counters of the agent's tunnel since its start.
 #[derive(Debug, Default)]
 pub(crate) struct TunnelCounters {
-    counts: [AtomicU64; TunnelCount::ALL],
+    counts: [AtomicU64; CounterKind::COUNT],
 }
 
-/// One kind of count.
+/// One counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum TunnelCount {
-    /// A datagram went to the QUIC endpoint.
+pub(crate) enum CounterKind {
+    /// A datagram was delivered to the QUIC endpoint.
     Delivered,
-    /// A first packet went to the next candidate.
+    /// A first packet was passed on to the next candidate.
     PassedOn,
-    /// A datagram went to a caller.
+    /// A datagram was sent towards a caller.
     Answered,
-    /// A frame was truncated, unknown or not authentic.
+    /// A frame was truncated, unknown, not authentic or not meant for agents.
     BadFrame,
     /// A datagram belonged to another service.
     OtherService,
-    /// A datagram was meant for another agent.
+    /// A datagram was for another agent.
     OtherTarget,
     /// A datagram belonged to an earlier run at this address.
     OtherIncarnation,
-    /// An answer found no balancer or a full kernel buffer.
+    /// An answer or another frame could not be sent, or a full inbox dropped a
+    /// peer's message.
     Unsent,
-    /// A silent path to a balancer was left.
+    /// A path to a balancer was marked silent.
     LeftPath,
-    /// A caller was told that a connection at this address is gone.
+    /// A stateless reset was sent for a connection of an earlier target here.
     Reset,
 }
 
-/// The counts at one moment.
+/// A snapshot of the counters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize)]
-pub struct TunnelCounts {
-    /// Datagrams that went to the QUIC endpoint.
+pub struct TunnelTotals {
+    /// Datagrams delivered to the QUIC endpoint.
     pub delivered: u64,
-    /// First packets that went to the next candidate.
+    /// First packets passed on to the next candidate.
     pub passed_on: u64,
-    /// Datagrams that went to callers.
+    /// Datagrams sent towards callers.
     pub answered: u64,
-    /// Frames that were truncated, unknown or not authentic.
+    /// Frames that were truncated, unknown, not authentic or not meant for agents.
     pub bad_frames: u64,
     /// Datagrams of another service.
     pub other_service: u64,
@@ -51,21 +52,21 @@
     pub other_target: u64,
     /// Datagrams of an earlier run at this address.
     pub other_incarnation: u64,
-    /// Answers that could not be sent.
+    /// Frames that could not be sent, and peers' messages dropped by a full inbox.
     pub unsent: u64,
-    /// Silent paths that were left.
+    /// Paths marked silent.
     pub left_paths: u64,
-    /// Callers that were told that a connection at this address is gone.
+    /// Stateless resets sent for connections of earlier targets here.
     pub resets: u64,
 }
 
-impl TunnelCount {
-    /// The number of kinds.
-    const ALL: usize = 10;
+impl CounterKind {
+    /// The number of counters.
+    const COUNT: usize = 10;
 }
 
-impl TunnelCounts {
-    /// Offers the counts as metrics, one series for each kind.
+impl TunnelTotals {
+    /// Publishes the totals as metrics, one series for each kind.
     pub(crate) fn publish(&self) {
         let kinds = [
             ("delivered", self.delivered),
@@ -86,25 +87,25 @@
 }
 
 impl TunnelCounters {
-    /// Adds one to a count.
-    pub(crate) fn add(&self, count: TunnelCount) {
-        self.counts[count as usize].fetch_add(1, Ordering::Relaxed);
+    /// Increments one counter.
+    pub(crate) fn increment(&self, kind: CounterKind) {
+        self.counts[kind as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns the counts now.
-    pub(crate) fn read(&self) -> TunnelCounts {
-        let read = |count: TunnelCount| self.counts[count as usize].load(Ordering::Relaxed);
-        TunnelCounts {
-            delivered: read(TunnelCount::Delivered),
-            passed_on: read(TunnelCount::PassedOn),
-            answered: read(TunnelCount::Answered),
-            bad_frames: read(TunnelCount::BadFrame),
-            other_service: read(TunnelCount::OtherService),
-            other_target: read(TunnelCount::OtherTarget),
-            other_incarnation: read(TunnelCount::OtherIncarnation),
-            unsent: read(TunnelCount::Unsent),
-            left_paths: read(TunnelCount::LeftPath),
-            resets: read(TunnelCount::Reset),
+    /// Returns the current totals.
+    pub(crate) fn read(&self) -> TunnelTotals {
+        let read = |kind: CounterKind| self.counts[kind as usize].load(Ordering::Relaxed);
+        TunnelTotals {
+            delivered: read(CounterKind::Delivered),
+            passed_on: read(CounterKind::PassedOn),
+            answered: read(CounterKind::Answered),
+            bad_frames: read(CounterKind::BadFrame),
+            other_service: read(CounterKind::OtherService),
+            other_target: read(CounterKind::OtherTarget),
+            other_incarnation: read(CounterKind::OtherIncarnation),
+            unsent: read(CounterKind::Unsent),
+            left_paths: read(CounterKind::LeftPath),
+            resets: read(CounterKind::Reset),
         }
     }
 }
--- a/src/agent/endpoint/tunnel_poller.rs
+++ b/src/agent/endpoint/tunnel_poller.rs
@@ -12,7 +12,7 @@
 
 type WritableFuture = Pin<Box<dyn Future<Output = io::Result<()>> + Send + Sync>>;
 
-/// Waits until the tunnel's socket takes datagrams again.
+/// Waits until the tunnel's socket is writable.
 pub(super) struct TunnelPoller {
     socket: Arc<UdpSocket>,
     writable: Option<WritableFuture>,
--- a/src/agent/endpoint/tunnel_socket.rs
+++ b/src/agent/endpoint/tunnel_socket.rs
@@ -9,7 +9,7 @@
 
 use super::{
     AnswerPaths, FirstPacketGate, LoadGauge, ResetWriter, TargetIdentity, TunnelCounters,
-    tunnel_counters::TunnelCount,
+    tunnel_counters::CounterKind,
 };
 use crate::{
     agent::admission::{AdmissionGate, AdmissionVerdict, AgentPhase, PeerLoad},
@@ -20,23 +20,23 @@
 };
 
 /// The longest frame that is received, in bytes.
-pub(super) const LONGEST_FRAME_BYTES: usize = 2_048;
-/// The messages of peers that wait to be taken; more are dropped.
-pub(crate) const PEER_INBOX: usize = 1_024;
+pub(super) const MAX_FRAME_BYTES: usize = 2_048;
+/// The capacity of the inbox of peers' messages; further ones are dropped.
+pub(crate) const PEER_INBOX_CAPACITY: usize = 1_024;
 
 /// A message of another agent of the deployment.
 #[derive(Debug)]
 pub(crate) struct PeerDatagram {
-    /// The agent that sent it.
+    /// The sender's target.
     pub(crate) source: TargetKey,
-    /// What it holds.
+    /// The encoded message.
     pub(crate) payload: Vec<u8>,
 }
 
-/// The agent's side of the tunnel, as the socket of its QUIC endpoint.
+/// The agent's end of the tunnel, used as the socket of its QUIC endpoint.
 ///
-/// Datagrams of callers come in frames from balancers; the endpoint sees the
-/// callers' own addresses. Answers go back in frames by any live balancer.
+/// Balancers wrap the callers' datagrams in frames; the endpoint sees the
+/// callers' own addresses. Answers go back in frames through any live balancer.
 pub(crate) struct TunnelSocket {
     pub(super) io: Arc<UdpSocket>,
     pub(super) identity: TargetIdentity,
@@ -52,7 +52,7 @@
 }
 
 impl TunnelSocket {
-    /// Wraps the bound socket; messages of peers go to `inbox`.
+    /// Wraps a bound socket; messages of peers go to `inbox`.
     pub(crate) fn new(
         io: UdpSocket,
         identity: TargetIdentity,
@@ -76,12 +76,12 @@
         }
     }
 
-    /// Returns who this agent is.
+    /// Returns the identity of this agent.
     pub(crate) fn identity(&self) -> TargetIdentity {
         self.identity
     }
 
-    /// Returns the clock that all decisions of the endpoint go by.
+    /// Returns the clock for all decisions of the endpoint.
     pub(crate) fn clock(&self) -> ProcessClock {
         self.clock
     }
@@ -91,17 +91,17 @@
         &self.counters
     }
 
-    /// Returns the balancers that answers go by, with whether each answers.
+    /// Returns each balancer and whether its path is usable, for a dump.
     pub(crate) fn list_paths(&self) -> Vec<(SocketAddrV4, bool)> {
         self.lock_paths().list(self.clock.now())
     }
 
-    /// Puts another phase in force for new connections.
+    /// Sets the phase that decides on new connections.
     pub(crate) fn set_phase(&self, phase: AgentPhase) {
         self.gate.set_phase(phase);
     }
 
-    /// Returns the phase in force.
+    /// Returns the current phase.
     pub(crate) fn phase(&self) -> AgentPhase {
         self.gate.lock().phase(self.clock.now())
     }
@@ -111,28 +111,28 @@
         self.gate.lock().counts()
     }
 
-    /// Returns the verdict on a connection that the endpoint offers.
+    /// Returns the verdict on a connection attempt at the endpoint.
     pub(crate) fn verdict(&self, destination: &[u8]) -> AdmissionVerdict {
         self.gate
             .verdict(destination, &self.gauge, self.clock.now())
     }
 
-    /// Notes what a peer told of its load.
+    /// Stores a peer's load report.
     pub(crate) fn set_peer_load(&self, peer: TargetKey, load: PeerLoad) {
         self.lock_loads().insert(peer, load);
     }
 
-    /// Returns what a peer last told of its load.
+    /// Returns a peer's last load report.
     pub(crate) fn peer_load(&self, peer: TargetKey) -> Option<PeerLoad> {
         self.lock_loads().get(&peer).copied()
     }
 
-    /// Forgets what peers told that are no longer registered.
-    pub(crate) fn keep_peers(&self, is_registered: impl Fn(TargetKey) -> bool) {
+    /// Removes the load reports of peers that are no longer registered.
+    pub(crate) fn retain_peer_loads(&self, is_registered: impl Fn(TargetKey) -> bool) {
         self.lock_loads().retain(|peer, _| is_registered(*peer));
     }
 
-    /// Sends a message to another agent; it may be lost.
+    /// Sends a message to another agent, without a guarantee of delivery.
     pub(crate) fn send_peer(&self, peer: TargetKey, payload: &[u8]) {
         let header = FrameHeader::new(
             FrameKind::Peer,
@@ -142,8 +142,8 @@
         self.send_frame(peer.address(), &header, payload);
     }
 
-    /// Asks silent balancers for an echo and forgets idle ones.
-    pub(crate) fn keep_paths(&self) {
+    /// Removes idle paths and probes unconfirmed and silent ones.
+    pub(crate) fn maintain_paths(&self) {
         let now = self.clock.now();
         let probes = {
             let mut paths = self.lock_paths();
@@ -157,17 +157,17 @@
         }
     }
 
-    /// Tells a caller that its connection is gone, by the balancer that asked.
+    /// Sends a stateless reset for `datagram` through `balancer`.
     pub(super) fn send_reset(&self, balancer: SocketAddrV4, header: &FrameHeader, datagram: &[u8]) {
         let Some(reset) = self.resets.write(datagram, self.clock.now()) else {
             return;
         };
         let answer = FrameHeader::new(FrameKind::Answer, header.service, header.caller);
         self.send_frame(balancer, &answer, &reset);
-        self.counters.add(TunnelCount::Reset);
+        self.counters.increment(CounterKind::Reset);
     }
 
-    /// Echoes the number of a frame, if it asks for that.
+    /// Echoes the number of a frame, if it carries one.
     pub(super) fn send_echo(&self, peer: SocketAddrV4, header: &FrameHeader) {
         if header.echo.is_some() {
             let echo = FrameHeader::new(FrameKind::Echo, header.service, header.caller)
@@ -176,10 +176,10 @@
         }
     }
 
-    /// Sends a frame; it may be lost.
+    /// Sends a frame; counts it as unsent on failure.
     pub(super) fn send_frame(&self, peer: SocketAddrV4, header: &FrameHeader, payload: &[u8]) {
         if self.try_send_frame(peer, header, payload).is_err() {
-            self.counters.add(TunnelCount::Unsent);
+            self.counters.increment(CounterKind::Unsent);
         }
     }
 
@@ -194,7 +194,7 @@
         header: &FrameHeader,
         payload: &[u8],
     ) -> io::Result<()> {
-        let mut frame = Vec::with_capacity(LONGEST_FRAME_BYTES);
+        let mut frame = Vec::with_capacity(MAX_FRAME_BYTES);
         header.write(payload, &self.secret.keys(), &mut frame);
         self.io
             .try_send_to(&frame, SocketAddr::V4(peer))
--- a/src/agent/node/agent_dump.rs
+++ b/src/agent/node/agent_dump.rs
@@ -6,7 +6,7 @@
     agent::{
         admission::{AdmissionCounts, AgentPhase, TargetLoad},
         drain::DrainReport,
-        endpoint::TunnelCounts,
+        endpoint::TunnelTotals,
         relay::RequestCounts,
     },
     key::{DomainName, IncarnationId},
@@ -42,5 +42,5 @@
     /// The balancers that answers go by, with whether each answers.
     pub balancers: Vec<(SocketAddrV4, bool)>,
     /// What the tunnel has counted.
-    pub(crate) tunnel: TunnelCounts,
+    pub(crate) tunnel: TunnelTotals,
 }
--- a/src/agent/node/agent_node.rs
+++ b/src/agent/node/agent_node.rs
@@ -18,8 +18,8 @@
         admission::{AcceptRule, AdmissionGate, AdmissionVerdict, AgentPhase},
         drain::{DrainEvent, DrainGoal, DrainReport},
         endpoint::{
-            LoadGauge, PEER_INBOX, PeerDatagram, RefusalDesk, TargetIdentity, TunnelSocket,
-            open_endpoint,
+            ConnectionRefuser, LoadGauge, PEER_INBOX_CAPACITY, PeerDatagram, TargetIdentity,
+            TunnelSocket, open_endpoint,
         },
         relay::{
             ConnectionContext, PeerExchange, PeerServer, RequestCoordinator, serve_connection,
@@ -92,7 +92,7 @@
             incarnation: announcement.incarnation,
         };
         let gauge = Arc::new(LoadGauge::new(ServiceLimits::default()));
-        let (inbox, peer_datagrams) = mpsc::channel(PEER_INBOX);
+        let (inbox, peer_datagrams) = mpsc::channel(PEER_INBOX_CAPACITY);
         let socket = open_socket(io, identity, &secret, &gauge, inbox);
         let open = OpenWorkGauge::new();
         let state = WatchState::new();
@@ -309,7 +309,7 @@
     socket: Arc<TunnelSocket>,
     context: Arc<ConnectionContext>,
 ) {
-    let refusals = RefusalDesk::new();
+    let refuser = ConnectionRefuser::new();
     while let Some(incoming) = endpoint.accept().await {
         match socket.verdict(&incoming.orig_dst_cid()) {
             AdmissionVerdict::Accept | AdmissionVerdict::PassOn => {
@@ -321,7 +321,7 @@
                     }
                 });
             }
-            AdmissionVerdict::Refuse { retry_after } => refusals.refuse(incoming, retry_after),
+            AdmissionVerdict::Refuse { retry_after } => refuser.refuse(incoming, retry_after),
         }
     }
 }
@@ -352,7 +352,7 @@
     async fn run(self) {
         loop {
             tokio::time::sleep(HOUSEKEEPING_MILLIS.duration()).await;
-            self.socket.keep_paths();
+            self.socket.maintain_paths();
             self.socket.counters().read().publish();
             self.gauge.publish();
             self.gauge.set_connections(self.endpoint.open_connections());
@@ -372,7 +372,7 @@
             self.gauge.set_limits(spec.limits);
             self.coordinator.set_service(spec);
             self.socket
-                .keep_peers(|peer| table.target(number, peer).is_some());
+                .retain_peer_loads(|peer| table.target(number, peer).is_some());
         }
     }
 }
