--- a/src/agent/agent_run.rs
+++ b/src/agent/agent_run.rs
@@ -10,11 +10,11 @@
     program::{StopSignal, start_logs},
 };
 
-/// Runs an agent until it is told to stop, then drains it.
+/// Runs an agent until a stop signal, then drains it.
 ///
 /// # Errors
 ///
-/// Fails when it can't start.
+/// Fails when the agent can't start.
 pub async fn run_agent(settings: AgentSettings) -> Result<(), AgentError> {
     start_logs(settings.log_format);
     let signal = StopSignal::listen().map_err(AgentError::Signal)?;
@@ -37,14 +37,14 @@
 }
 
 fn admin_source(node: &Arc<AgentNode>) -> AdminSource {
-    let dumped = Arc::clone(node);
-    let drained = Arc::clone(node);
+    let dump_node = Arc::clone(node);
+    let drain_node = Arc::clone(node);
     let source = AdminSource::new(move || {
-        let node = Arc::clone(&dumped);
+        let node = Arc::clone(&dump_node);
         async move { node.dump().await }
     });
     source.with_drain(move |command| {
-        let node = Arc::clone(&drained);
+        let node = Arc::clone(&drain_node);
         async move {
             match command {
                 DrainCommand::Begin(request) => {
--- a/src/agent/agent_settings.rs
+++ b/src/agent/agent_settings.rs
@@ -13,8 +13,8 @@
     tls::CertificateFiles,
 };
 
-/// The shortest life of a connection ID, in milliseconds.
-const LEAST_ID_LIFE_MILLIS: u64 = 1_000;
+/// The shortest lifetime of a connection ID, in milliseconds.
+const MIN_ID_LIFETIME_MILLIS: u64 = 1_000;
 
 /// The settings of `cyclamen-agent`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -22,28 +22,28 @@
 pub struct AgentSettings {
     /// The agent's name, unique in the deployment.
     pub name: String,
-    /// Where the agent and its upstream run.
+    /// The failure domain of the agent and its upstream.
     pub domain: DomainName,
     /// The service of the manifest that the upstream belongs to.
     pub service: String,
-    /// Where the upstream answers HTTP/1.1.
+    /// The HTTP/1.1 address of the upstream.
     pub upstream: SocketAddrV4,
-    /// The address that balancers send frames to.
+    /// The UDP address to which balancers send frames.
     pub tunnel_listen: SocketAddrV4,
-    /// The address at which the agent answers other agents.
+    /// The TCP address at which the agent serves other agents.
     pub peer_listen: SocketAddrV4,
-    /// The share of new connections, relative to other targets.
+    /// The weight of the target, for its share of new connections.
     #[serde(default = "default_weight")]
     pub weight: u16,
-    /// The call addresses of the control replicas.
+    /// The RPC addresses of the control replicas.
     pub control: Vec<SocketAddrV4>,
     /// The file with the deployment secret.
     pub secret_file: PathBuf,
-    /// The certificate that callers see.
+    /// The certificate presented to callers.
     pub tls: CertificateFiles,
-    /// The life of a connection ID; connections outlive a rotation of the
-    /// secret when both epochs stay live for longer than this.
-    #[serde(rename = "connection_id_millis", default = "default_id_life")]
+    /// The lifetime of a connection ID; connections survive a rotation of the
+    /// secret if both epochs stay valid for longer than this.
+    #[serde(rename = "connection_id_millis", default = "default_id_lifetime")]
     pub connection_id_life: SpanMillis,
     /// The address of the admin calls.
     #[serde(default)]
@@ -51,7 +51,7 @@
     /// The address of the metrics.
     #[serde(default)]
     pub metrics_listen: Option<SocketAddrV4>,
-    /// How log lines are written.
+    /// The format of log lines.
     #[serde(default)]
     pub log_format: LogFormat,
 }
@@ -60,13 +60,13 @@
     1
 }
 
-const fn default_id_life() -> SpanMillis {
+const fn default_id_lifetime() -> SpanMillis {
     SpanMillis::new(600_000)
 }
 
 impl SettingsCheck for AgentSettings {
     fn check(&self, path: &Path) -> Result<(), SettingsError> {
-        let fault = |field, value: String, allowed| {
+        let out_of_range = |field, value: String, allowed| {
             Err(SettingsError::OutOfRange {
                 path: path.to_owned(),
                 field,
@@ -75,7 +75,7 @@
             })
         };
         if self.name.is_empty() {
-            return fault(
+            return out_of_range(
                 "name",
                 self.name.clone(),
                 "a name of at least one character",
@@ -83,26 +83,26 @@
         }
         if self.service.is_empty() {
             let allowed = "the name of a service of the manifest";
-            return fault("service", self.service.clone(), allowed);
+            return out_of_range("service", self.service.clone(), allowed);
         }
         if self.control.is_empty() {
-            return fault("control", "empty".to_owned(), "at least one address");
+            return out_of_range("control", "empty".to_owned(), "at least one address");
         }
         if self.weight == 0 {
-            return fault("weight", "0".to_owned(), "1 to 65535");
+            return out_of_range("weight", "0".to_owned(), "1 to 65535");
         }
         for (field, address) in [
             ("tunnel_listen", self.tunnel_listen),
             ("peer_listen", self.peer_listen),
         ] {
             if address.ip().is_unspecified() || address.port() == 0 {
-                let allowed = "an address of this machine with a port, as others reach it";
-                return fault(field, address.to_string(), allowed);
+                let allowed = "an address of this host with a port, as others reach it";
+                return out_of_range(field, address.to_string(), allowed);
             }
         }
-        if self.connection_id_life.millis() < LEAST_ID_LIFE_MILLIS {
+        if self.connection_id_life.millis() < MIN_ID_LIFETIME_MILLIS {
             let value = self.connection_id_life.millis().to_string();
-            return fault("connection_id_millis", value, "at least 1000");
+            return out_of_range("connection_id_millis", value, "at least 1000");
         }
         Ok(())
     }
--- a/src/agent/measure/decision_run.rs
+++ b/src/agent/measure/decision_benchmark.rs
@@ -4,7 +4,7 @@
     time::Instant,
 };
 
-use super::DecisionFigure;
+use super::DecisionCost;
 use crate::{
     agent::{
         admission::{
@@ -39,47 +39,47 @@
 ///
 /// # Errors
 ///
-/// Fails when the secret for the tickets can't be made.
-pub fn measure_decisions(rounds: u32) -> Result<Vec<DecisionFigure>, SecretError> {
+/// Fails when the random secret for the tickets is rejected.
+pub fn measure_decisions(rounds: u32) -> Result<Vec<DecisionCost>, SecretError> {
     let ring = KeyRing::new(&DeploymentSecret::random(1))?;
-    let mut figures = vec![
+    let mut costs = vec![
         admit_new(rounds),
-        admit_again(rounds),
-        take_slot(rounds),
-        claim_slot(rounds),
+        admit_known(rounds),
+        take_and_release_slot(rounds),
+        wait_with_claims(rounds),
     ];
-    figures.extend(use_tickets(rounds, &ring));
-    Ok(figures)
+    costs.extend(use_tickets(rounds, &ring));
+    Ok(costs)
 }
 
-fn measure(decision: &'static str, rounds: u32, mut decide: impl FnMut(u32)) -> DecisionFigure {
+fn measure(decision: &'static str, rounds: u32, mut decide: impl FnMut(u32)) -> DecisionCost {
     let start = Instant::now();
     for round in 0..rounds {
         decide(round);
     }
     let nanos = start.elapsed().as_secs_f64() * 1e9 / f64::from(rounds);
-    DecisionFigure {
+    DecisionCost {
         decision,
         rounds,
         nanos,
     }
 }
 
-fn admit_new(rounds: u32) -> DecisionFigure {
+fn admit_new(rounds: u32) -> DecisionCost {
     let mut gate = AdmissionGate::new(AcceptRule::DEFAULT, AgentPhase::Serving);
     measure("admit_new_connection", rounds, |round| {
         black_box(gate.admit(offer(round), load(), NOW));
     })
 }
 
-fn admit_again(rounds: u32) -> DecisionFigure {
+fn admit_known(rounds: u32) -> DecisionCost {
     let mut gate = AdmissionGate::new(AcceptRule::DEFAULT, AgentPhase::Serving);
     measure("admit_known_connection", rounds, |_| {
         black_box(gate.admit(offer(1), load(), NOW));
     })
 }
 
-fn take_slot(rounds: u32) -> DecisionFigure {
+fn take_and_release_slot(rounds: u32) -> DecisionCost {
     let mut queue = SlotQueue::new(LIMITS);
     measure("take_and_release_slot", rounds, |_| {
         if let (SlotVerdict::Run(slot), _) = queue.request(REQUEST, NOW) {
@@ -88,13 +88,13 @@
     })
 }
 
-fn claim_slot(rounds: u32) -> DecisionFigure {
+fn wait_with_claims(rounds: u32) -> DecisionCost {
     let own = AgentIdentity {
         target: target(1),
         incarnation: IncarnationId::new(1),
     };
     let mut broker = SlotBroker::new(own, LIMITS);
-    let peers: Vec<PeerView> = (2..8).map(view).collect();
+    let peers: Vec<PeerView> = (2..8).map(peer_view).collect();
     for _ in 0..LIMITS.slots {
         broker.request(REQUEST, &peers, 0, NOW);
     }
@@ -106,32 +106,32 @@
     })
 }
 
-fn use_tickets(rounds: u32, ring: &KeyRing) -> [DecisionFigure; 3] {
+fn use_tickets(rounds: u32, ring: &KeyRing) -> [DecisionCost; 3] {
     let limits = LedgerLimits {
         tickets: usize::try_from(rounds).unwrap_or(usize::MAX),
         ..LedgerLimits::DEFAULT
     };
     let incarnation = IncarnationId::new(1);
     let mut ledger = TicketLedger::new(target(1), ServiceNumber::new(1), incarnation, limits);
-    let print = RequestFingerprint::new("POST", "/feed", Some(100));
+    let fingerprint = RequestFingerprint::new("POST", "/feed", Some(100));
     let mut tickets = Vec::new();
-    let mint = measure("mint_ticket", rounds, |_| {
+    let mint_cost = measure("mint_ticket", rounds, |_| {
         tickets.push(ledger.mint(ring, NOW));
     });
-    let run = measure("run_ticket_and_settle", rounds, |round| {
+    let run_cost = measure("run_ticket_and_settle", rounds, |round| {
         let ticket = &tickets[usize::try_from(round).unwrap_or(0)];
-        if let TicketVerdict::Run(run) = ledger.present(ticket, ring, print, NOW) {
-            ledger.settle(run, RunOutcome::Finished(outcome()), NOW);
+        if let TicketVerdict::Run(run) = ledger.present(ticket, ring, fingerprint, NOW) {
+            ledger.settle(run, RunOutcome::Finished(kept_outcome()), NOW);
         }
     });
-    let replay = measure("answer_resend", rounds, |round| {
+    let replay_cost = measure("answer_resend", rounds, |round| {
         let ticket = &tickets[usize::try_from(round).unwrap_or(0)];
-        black_box(ledger.present(ticket, ring, print, NOW));
+        black_box(ledger.present(ticket, ring, fingerprint, NOW));
     });
-    [mint, run, replay]
+    [mint_cost, run_cost, replay_cost]
 }
 
-fn outcome() -> KeptOutcome {
+fn kept_outcome() -> KeptOutcome {
     KeptOutcome {
         status: 200,
         headers: Vec::new(),
@@ -161,7 +161,7 @@
     }
 }
 
-fn view(port: u16) -> PeerView {
+fn peer_view(port: u16) -> PeerView {
     PeerView {
         target: target(port),
         work_permille: 500,
--- a/src/agent/measure/decision_figure.rs
+++ b/src/agent/measure/decision_cost.rs
@@ -1,11 +1,11 @@
 use serde::Serialize;
 
-/// The cost of one kind of decision.
+/// The measured cost of one kind of decision.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct DecisionFigure {
-    /// What was decided.
+pub struct DecisionCost {
+    /// The name of the decision.
     pub decision: &'static str,
-    /// How often it was decided.
+    /// The number of decisions measured.
     pub rounds: u32,
     /// The mean time of one decision, in nanoseconds.
     pub nanos: f64,
--- a/src/agent/measure/mod.rs
+++ b/src/agent/measure/mod.rs
@@ -1,7 +1,7 @@
-//! What the agent's decisions cost, measured in this process.
+//! In-process benchmarks of the agent's decisions.
 
-mod decision_figure;
-mod decision_run;
+mod decision_benchmark;
+mod decision_cost;
 
-pub use decision_figure::DecisionFigure;
-pub use decision_run::measure_decisions;
+pub use decision_benchmark::measure_decisions;
+pub use decision_cost::DecisionCost;
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -1,4 +1,5 @@
-//! The agent beside an upstream: ends connections, decides, relays, drains.
+//! The agent beside an upstream: terminates QUIC connections, admits and relays
+//! requests, and drains.
 
 pub(crate) mod admission;
 mod agent_event;
@@ -18,7 +19,7 @@
 
 pub use agent_run::run_agent;
 pub use agent_settings::AgentSettings;
-pub use measure::{DecisionFigure, measure_decisions};
+pub use measure::{DecisionCost, measure_decisions};
 pub use node::{AgentDump, AgentError, AgentNode};
 
 pub(crate) use agent_event::AgentEvent;
--- a/src/agent/node/agent_dump.rs
+++ b/src/agent/node/agent_dump.rs
@@ -17,30 +17,30 @@
 pub struct AgentDump {
     /// The agent's name.
     pub name: String,
-    /// Where it runs.
+    /// The failure domain that it runs in.
     pub domain: DomainName,
-    /// The service of its upstream.
+    /// The name of its service.
     pub service: String,
-    /// The number of that service.
+    /// The service's number.
     pub service_number: u16,
-    /// This run of the agent.
+    /// The incarnation of this run.
     pub incarnation: IncarnationId,
-    /// The revision of its routes.
+    /// The revision of its route table.
     pub revision: u64,
     /// Whether control answers.
     pub control_answers: bool,
-    /// Whether it takes new work.
+    /// Whether it is warming up, serving or leaving.
     pub(crate) phase: AgentPhase,
-    /// How much it has to do.
+    /// The current load.
     pub(crate) load: TargetLoad,
-    /// How far a planned stop has come.
+    /// The progress of the drain; `None` once the drain actor is gone.
     pub(crate) drain: Option<DrainReport>,
-    /// Slots, queue, tickets and retries.
+    /// Counts of slots, queue, claims, streams, tickets and retries.
     pub(crate) requests: RequestCounts,
-    /// How new connections were decided on.
+    /// Counts of the admission gate.
     pub(crate) admission: AdmissionCounts,
-    /// The balancers that answers go by, with whether each answers.
+    /// The balancers used for answers, and whether each path is usable.
     pub balancers: Vec<(SocketAddrV4, bool)>,
-    /// What the tunnel has counted.
+    /// Totals of the tunnel's counters.
     pub(crate) tunnel: TunnelTotals,
 }
--- a/src/agent/node/agent_error.rs
+++ b/src/agent/node/agent_error.rs
@@ -13,15 +13,15 @@
 /// Why an agent could not start.
 #[derive(Debug, Error, Diagnostic)]
 pub enum AgentError {
-    /// The admin address or the metrics can't be served.
+    /// The admin calls or the metrics can't be served.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Admin(#[from] AdminError),
-    /// The deployment secret was refused.
+    /// The deployment secret is invalid.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Secret(#[from] SecretError),
-    /// The certificate was refused.
+    /// The certificate is invalid.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Tls(#[from] TlsError),
@@ -30,7 +30,7 @@
     Tunnel {
         /// The address from the settings.
         address: SocketAddrV4,
-        /// What the system answered.
+        /// The error from the operating system.
         #[source]
         cause: io::Error,
     },
@@ -38,11 +38,11 @@
     #[error(transparent)]
     #[diagnostic(transparent)]
     Endpoint(#[from] EndpointError),
-    /// The address for other agents can't be had.
+    /// The address for other agents can't be bound.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Peer(#[from] PeerServerError),
-    /// The signals of the system can't be listened to.
-    #[error("cannot listen to signals: {0}")]
+    /// The signal handlers can't be installed.
+    #[error("cannot listen for signals: {0}")]
     Signal(#[source] io::Error),
 }
--- a/src/agent/node/agent_node.rs
+++ b/src/agent/node/agent_node.rs
@@ -9,7 +9,7 @@
 };
 
 use super::{
-    AgentDump, AgentError, DrainActor, DrainDuty, DrainOrder, DrainQuery, LeaseKeeper,
+    AgentDump, AgentError, DrainActor, DrainHandles, DrainInput, DrainQuery, LeaseRenewer,
     OpenWorkGauge, withdraw_target,
 };
 use crate::{
@@ -39,14 +39,14 @@
     watch::{RouteWatch, WatchState},
 };
 
-/// The deadline of requests before the feed tells of the service.
+/// The deadline of requests until the feed delivers the service's settings.
 const INITIAL_DEADLINE_MILLIS: SpanMillis = SpanMillis::new(10_000);
-/// How long callers get to take the last answers and close.
+/// How long callers get to receive the last answers and close.
 const LINGER_MILLIS: SpanMillis = SpanMillis::new(3_000);
-/// How often open work is counted and paths are looked after.
+/// The interval of the housekeeping.
 const HOUSEKEEPING_MILLIS: SpanMillis = SpanMillis::new(250);
 
-/// A running agent; dropping it stops it at once.
+/// A running agent; dropping it aborts its tasks.
 #[derive(Debug)]
 pub struct AgentNode {
     name: String,
@@ -54,8 +54,8 @@
     domain: DomainName,
     socket: Arc<TunnelSocket>,
     endpoint: Endpoint,
-    gauge: Arc<LoadGauge>,
-    open: Arc<OpenWorkGauge>,
+    load_gauge: Arc<LoadGauge>,
+    open_work: Arc<OpenWorkGauge>,
     coordinator: Arc<RequestCoordinator>,
     state: Arc<WatchState>,
     drain: ActorRef<DrainActor>,
@@ -66,35 +66,37 @@
 }
 
 impl AgentNode {
-    /// Starts an agent within the runtime; it waits until control knows it.
+    /// Starts an agent on the current runtime; waits until control has
+    /// registered its target.
     ///
     /// # Errors
     ///
-    /// Fails when the secret, the certificate or the address can't be had.
+    /// Fails when the secret or the certificate is invalid, or an address can't
+    /// be bound.
     pub async fn start(settings: &AgentSettings) -> Result<Self, AgentError> {
         let secret = SecretStore::open(settings.secret_file.clone())?;
         let certificates = CertificateStore::open(settings.tls.clone())?;
         let io = bind_tunnel(settings.tunnel_listen).await?;
         let client = Arc::new(ControlClient::new(settings.control.clone(), secret.clone()));
         let announcement = announcement_of(settings);
-        let (phase, phase_seen) = watch::channel(TargetPhase::Serving);
-        let (committed, committed_seen) = watch::channel(TargetPhase::Serving);
-        let mut keeper = LeaseKeeper::new(
+        let (phase, phase_receiver) = watch::channel(TargetPhase::Serving);
+        let (committed, committed_receiver) = watch::channel(TargetPhase::Serving);
+        let mut renewer = LeaseRenewer::new(
             Arc::clone(&client),
             announcement.clone(),
-            phase_seen,
+            phase_receiver,
             committed,
         );
-        let receipt = keeper.announce().await;
+        let receipt = renewer.announce().await;
         let identity = TargetIdentity {
             service: receipt.service,
             target: announcement.target,
             incarnation: announcement.incarnation,
         };
-        let gauge = Arc::new(LoadGauge::new(ServiceLimits::default()));
+        let load_gauge = Arc::new(LoadGauge::new(ServiceLimits::default()));
         let (inbox, peer_datagrams) = mpsc::channel(PEER_INBOX_CAPACITY);
-        let socket = open_socket(io, identity, &secret, &gauge, inbox);
-        let open = OpenWorkGauge::new();
+        let socket = open_socket(io, identity, &secret, &load_gauge, inbox);
+        let open_work = OpenWorkGauge::new();
         let state = WatchState::new();
         let coordinator = RequestCoordinator::new(
             identity,
@@ -102,7 +104,11 @@
             settings.upstream,
             secret.clone(),
             Arc::clone(&state),
-            (Arc::clone(&socket), Arc::clone(&gauge), Arc::clone(&open)),
+            (
+                Arc::clone(&socket),
+                Arc::clone(&load_gauge),
+                Arc::clone(&open_work),
+            ),
         );
         let peers = PeerServer::bind(settings.peer_listen, Arc::clone(&coordinator)).await?;
         let endpoint = open_endpoint(
@@ -111,9 +117,9 @@
             certificates,
             settings.connection_id_life,
         )?;
-        let (go_away, go_away_seen) = watch::channel(0);
-        let (exit, exit_seen) = watch::channel(false);
-        let drain = DrainActor::spawn(DrainActor::new(DrainDuty {
+        let (go_away, go_away_receiver) = watch::channel(0);
+        let (exit, exit_receiver) = watch::channel(false);
+        let drain = DrainActor::spawn(DrainActor::new(DrainHandles {
             socket: Arc::clone(&socket),
             endpoint: endpoint.clone(),
             coordinator: Arc::clone(&coordinator),
@@ -127,28 +133,28 @@
             domain: settings.domain.clone(),
             socket,
             endpoint,
-            gauge,
-            open,
+            load_gauge,
+            open_work,
             coordinator: Arc::clone(&coordinator),
             state,
             drain,
-            exit: exit_seen,
+            exit: exit_receiver,
             client,
             announcement,
             tasks: JoinSet::new(),
         };
         let context = Arc::new(ConnectionContext {
             coordinator,
-            go_away: go_away_seen,
+            go_away: go_away_receiver,
         });
         log_event!(info, AgentEvent::Started, name = settings.name, domain = %settings.domain);
         Ok(node
             .with_service_tasks(context)
             .with_peer_tasks(peers, peer_datagrams)
-            .with_control_tasks(keeper, receipt, committed_seen))
+            .with_control_tasks(renewer, receipt, committed_receiver))
     }
 
-    /// Starts the tasks that serve callers.
+    /// Starts the tasks that serve callers, and the housekeeping.
     fn with_service_tasks(mut self, context: Arc<ConnectionContext>) -> Self {
         self.tasks.spawn(accept_connections(
             self.endpoint.clone(),
@@ -158,8 +164,8 @@
         let housekeeping = Housekeeping {
             socket: Arc::clone(&self.socket),
             endpoint: self.endpoint.clone(),
-            gauge: Arc::clone(&self.gauge),
-            open: Arc::clone(&self.open),
+            load_gauge: Arc::clone(&self.load_gauge),
+            open_work: Arc::clone(&self.open_work),
             coordinator: Arc::clone(&self.coordinator),
             state: Arc::clone(&self.state),
             drain: self.drain.clone(),
@@ -168,7 +174,7 @@
         self
     }
 
-    /// Starts the tasks that talk with other agents.
+    /// Starts the tasks that communicate with other agents.
     fn with_peer_tasks(
         mut self,
         peers: Arc<PeerServer>,
@@ -180,10 +186,10 @@
         self
     }
 
-    /// Starts the tasks that talk with control.
+    /// Starts the tasks that communicate with control.
     fn with_control_tasks(
         mut self,
-        keeper: LeaseKeeper,
+        renewer: LeaseRenewer,
         receipt: AnnounceReceipt,
         committed: watch::Receiver<TargetPhase>,
     ) -> Self {
@@ -194,21 +200,21 @@
             WatchScope::Service(self.service.clone()),
             Arc::clone(&self.state),
         );
-        self.tasks.spawn(keeper.run(receipt));
+        self.tasks.spawn(renewer.run(receipt));
         self.tasks.spawn(route_watch.run());
         self.tasks
             .spawn(report_commits(committed, self.drain.clone()));
         self
     }
 
-    /// Begins a planned stop, cancels it, or stops without waiting.
+    /// Sends an event to the drain: begin, cancel or stop now.
     ///
-    /// It returns how far the stop has come, or `None` once the agent is gone.
+    /// Returns the drain's progress, or `None` once the drain actor is gone.
     pub(crate) async fn order(&self, event: DrainEvent) -> Option<DrainReport> {
-        self.drain.ask(DrainOrder(event)).await.ok()
+        self.drain.ask(DrainInput(event)).await.ok()
     }
 
-    /// Begins a planned stop that ends the agent; nothing in progress is cut.
+    /// Begins a drain that ends the agent; requests in progress are not cut.
     pub async fn begin_exit(&self) {
         let event = DrainEvent::Begin {
             goal: DrainGoal::Exit,
@@ -217,24 +223,24 @@
         let _ = self.order(event).await;
     }
 
-    /// Waits until a planned stop has ended, and withdraws the target.
+    /// Waits for the end of the drain, withdraws the target and closes the endpoint.
     pub async fn finish_exit(&self) {
         // The sender lives as long as the drain actor.
-        let _ = self.exit.clone().wait_for(|is_over| *is_over).await;
+        let _ = self.exit.clone().wait_for(|is_finished| *is_finished).await;
         withdraw_target(&self.client, &self.announcement).await;
-        // An answer that was sent may still be on its way.
+        // Answers that were sent may still be in flight.
         let _ = tokio::time::timeout(LINGER_MILLIS.duration(), self.endpoint.wait_idle()).await;
         self.endpoint
             .close(quinn::VarInt::from_u32(0x100), b"stopped");
         self.endpoint.wait_idle().await;
     }
 
-    /// Returns how far a planned stop has come, or `None` once the agent is gone.
+    /// Returns the drain's progress, or `None` once the drain actor is gone.
     pub(crate) async fn drain_report(&self) -> Option<DrainReport> {
         self.drain.ask(DrainQuery).await.ok()
     }
 
-    /// Returns the whole state without stopping the packet path.
+    /// Returns the agent's state without stopping the packet path.
     pub async fn dump(&self) -> AgentDump {
         let table = self.state.table().load_full();
         let identity = self.socket.identity();
@@ -247,7 +253,7 @@
             revision: table.revision().count(),
             control_answers: self.state.is_connected(),
             phase: self.socket.phase(),
-            load: self.gauge.read(),
+            load: self.load_gauge.read(),
             drain: self.drain_report().await,
             requests: self.coordinator.counts(),
             admission: self.socket.admission(),
@@ -269,23 +275,30 @@
     }
 }
 
-/// Wraps the tunnel's socket with a gate that lets a new target warm up.
+/// Wraps the tunnel's socket; its admission gate starts in the warm-up phase.
 fn open_socket(
     io: UdpSocket,
     identity: TargetIdentity,
     secret: &SecretStore,
-    gauge: &Arc<LoadGauge>,
+    load_gauge: &Arc<LoadGauge>,
     inbox: mpsc::Sender<PeerDatagram>,
 ) -> Arc<TunnelSocket> {
     let phase = AgentPhase::Warming {
         since: ClockMillis::ORIGIN,
     };
     let gate = AdmissionGate::new(AcceptRule::DEFAULT, phase);
-    let socket = TunnelSocket::new(io, identity, secret.clone(), gate, Arc::clone(gauge), inbox);
+    let socket = TunnelSocket::new(
+        io,
+        identity,
+        secret.clone(),
+        gate,
+        Arc::clone(load_gauge),
+        inbox,
+    );
     Arc::new(socket)
 }
 
-/// Returns what is assumed of the service before the feed tells of it.
+/// Returns the defaults that apply until the feed delivers the service's settings.
 fn initial_spec(settings: &AgentSettings) -> ServiceSpec {
     ServiceSpec {
         name: settings.service.clone(),
@@ -303,7 +316,7 @@
         .map_err(|cause| AgentError::Tunnel { address, cause })
 }
 
-/// Accepts or refuses each connection that the endpoint offers.
+/// Accepts or refuses each connection attempt at the endpoint.
 async fn accept_connections(
     endpoint: Endpoint,
     socket: Arc<TunnelSocket>,
@@ -315,7 +328,7 @@
             AdmissionVerdict::Accept | AdmissionVerdict::PassOn => {
                 let context = Arc::clone(&context);
                 tokio::spawn(async move {
-                    // A copy of a first packet that lost to another agent ends here.
+                    // Fails for a copied first packet whose caller chose another agent.
                     if let Ok(connection) = incoming.await {
                         serve_connection(connection, context).await;
                     }
@@ -326,23 +339,24 @@
     }
 }
 
-/// Tells the planned stop which phase control has committed.
+/// Reports each phase that control has committed to the drain.
 async fn report_commits(mut committed: watch::Receiver<TargetPhase>, drain: ActorRef<DrainActor>) {
     while committed.changed().await.is_ok() {
         let phase = *committed.borrow_and_update();
         let event = DrainEvent::Announced(phase);
-        if drain.tell(DrainOrder(event)).await.is_err() {
+        if drain.tell(DrainInput(event)).await.is_err() {
             return;
         }
     }
 }
 
-/// Counts open work, keeps paths and puts changed limits in force.
+/// Periodically maintains paths, publishes metrics, applies changed limits and
+/// reports open work to the drain.
 struct Housekeeping {
     socket: Arc<TunnelSocket>,
     endpoint: Endpoint,
-    gauge: Arc<LoadGauge>,
-    open: Arc<OpenWorkGauge>,
+    load_gauge: Arc<LoadGauge>,
+    open_work: Arc<OpenWorkGauge>,
     coordinator: Arc<RequestCoordinator>,
     state: Arc<WatchState>,
     drain: ActorRef<DrainActor>,
@@ -354,22 +368,23 @@
             tokio::time::sleep(HOUSEKEEPING_MILLIS.duration()).await;
             self.socket.maintain_paths();
             self.socket.counters().read().publish();
-            self.gauge.publish();
-            self.gauge.set_connections(self.endpoint.open_connections());
-            self.take_limits();
-            let event = DrainEvent::Counted(self.open.read());
-            if self.drain.tell(DrainOrder(event)).await.is_err() {
+            self.load_gauge.publish();
+            self.load_gauge
+                .set_connections(self.endpoint.open_connections());
+            self.apply_service();
+            let event = DrainEvent::Counted(self.open_work.read());
+            if self.drain.tell(DrainInput(event)).await.is_err() {
                 return;
             }
         }
     }
 
-    fn take_limits(&self) {
+    fn apply_service(&self) {
         let table = self.state.table().load();
         let number = self.socket.identity().service;
         if let Some(pool) = table.pool(number) {
             let spec = &pool.route().spec;
-            self.gauge.set_limits(spec.limits);
+            self.load_gauge.set_limits(spec.limits);
             self.coordinator.set_service(spec);
             self.socket
                 .retain_peer_loads(|peer| table.target(number, peer).is_some());
--- a/src/agent/node/drain_actor.rs
+++ b/src/agent/node/drain_actor.rs
@@ -16,88 +16,88 @@
     route::TargetPhase,
 };
 
-/// The code of a connection that is closed without a fault (RFC 9114).
+/// `H3_NO_ERROR` (RFC 9114).
 const NO_ERROR: VarInt = VarInt::from_u32(0x100);
 
-/// The parts of the agent that a planned stop acts on.
+/// Handles to the parts of the agent that a drain acts on.
 #[derive(Debug, Clone)]
-pub(crate) struct DrainDuty {
-    /// Where new connections arrive.
+pub(crate) struct DrainHandles {
+    /// The tunnel socket, whose gate admits new connections.
     pub(crate) socket: Arc<TunnelSocket>,
-    /// Where open connections end.
+    /// The QUIC endpoint of the open connections.
     pub(crate) endpoint: Endpoint,
-    /// Where requests are decided on.
+    /// The coordinator of the open requests and tickets.
     pub(crate) coordinator: Arc<RequestCoordinator>,
-    /// The phase that the lease keeper announces.
+    /// The phase that the lease renewer announces.
     pub(crate) phase: watch::Sender<TargetPhase>,
-    /// Counts the announcements of leaving to open connections.
+    /// Incremented to make every open connection send a GOAWAY.
     pub(crate) go_away: watch::Sender<u32>,
-    /// Becomes true when the process is to stop.
+    /// Becomes true when the process must stop.
     pub(crate) exit: watch::Sender<bool>,
 }
 
-/// Leads the agent through its planned stop, one order at a time.
+/// Runs the agent's drain: feeds the state machine and performs its actions.
 #[derive(Debug, Actor)]
 pub(crate) struct DrainActor {
     machine: DrainMachine,
-    duty: DrainDuty,
+    handles: DrainHandles,
 }
 
-/// An order or an observation for the planned stop.
+/// An event for the drain; the reply is its progress.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct DrainOrder(pub(crate) DrainEvent);
+pub(crate) struct DrainInput(pub(crate) DrainEvent);
 
-/// Asks how far the planned stop has come.
+/// Asks for the progress of the drain.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DrainQuery;
 
 impl DrainActor {
-    /// Creates the actor of an agent that serves.
-    pub(crate) fn new(duty: DrainDuty) -> Self {
+    /// Creates the actor of a serving agent.
+    pub(crate) fn new(handles: DrainHandles) -> Self {
         Self {
             machine: DrainMachine::new(),
-            duty,
+            handles,
         }
     }
 
     async fn perform(&self, action: DrainAction) {
         match action {
-            DrainAction::SetPhase(phase) => self.duty.socket.set_phase(agent_phase(phase)),
+            DrainAction::SetPhase(phase) => self.handles.socket.set_phase(agent_phase(phase)),
             DrainAction::Announce(phase) => {
-                self.duty.phase.send_replace(phase);
+                self.handles.phase.send_replace(phase);
             }
             DrainAction::SendGoAway => {
                 log_event!(info, AgentEvent::DrainBegun);
-                self.duty.go_away.send_modify(|count| *count += 1);
+                self.handles.go_away.send_modify(|count| *count += 1);
             }
             DrainAction::HandOverTickets => {
                 log_event!(info, AgentEvent::Drained);
-                hand_over_tickets(&self.duty.coordinator).await;
+                hand_over_tickets(&self.handles.coordinator).await;
             }
             DrainAction::CutOpenWork => {
                 log_event!(warn, AgentEvent::WorkCut);
-                self.duty.coordinator.cut();
-                self.duty
+                self.handles.coordinator.cut();
+                self.handles
                     .endpoint
                     .close(NO_ERROR, b"stopped on the operator's word");
             }
             DrainAction::Exit => {
-                self.duty.exit.send_replace(true);
+                self.handles.exit.send_replace(true);
             }
         }
     }
 }
 
-impl Message<DrainOrder> for DrainActor {
+impl Message<DrainInput> for DrainActor {
     type Reply = DrainReport;
 
     async fn handle(
         &mut self,
-        order: DrainOrder,
+        input: DrainInput,
         _context: &mut Context<Self, Self::Reply>,
     ) -> DrainReport {
-        let now = self.duty.socket.clock().now();
-        for action in self.machine.handle(order.0, now) {
+        let now = self.handles.socket.clock().now();
+        for action in self.machine.handle(input.0, now) {
             self.perform(action).await;
         }
         self.machine.report()
--- a/src/agent/node/lease_keeper.rs
+++ b/src/agent/node/lease_renewer.rs
@@ -15,23 +15,23 @@
     route::TargetPhase,
 };
 
-/// The pause after an announcement that failed.
-const RETRY_MILLIS: SpanMillis = SpanMillis::new(500);
-/// Heartbeats within one lease.
-const BEATS_PER_LEASE: u64 = 3;
+/// The pause after a failed announcement.
+const ANNOUNCE_RETRY_MILLIS: SpanMillis = SpanMillis::new(500);
+/// The number of heartbeats per lease.
+const HEARTBEATS_PER_LEASE: u64 = 3;
 
-/// Announces the target and keeps its lease.
+/// Announces the target and renews its lease.
 #[derive(Debug)]
-pub(crate) struct LeaseKeeper {
+pub(crate) struct LeaseRenewer {
     client: Arc<ControlClient>,
     announcement: AnnounceRequest,
     phase: watch::Receiver<TargetPhase>,
     committed: watch::Sender<TargetPhase>,
 }
 
-impl LeaseKeeper {
-    /// Creates a keeper; `phase` tells what to announce, and `committed` is
-    /// told what control has accepted.
+impl LeaseRenewer {
+    /// Creates a renewer that announces `phase` and sends each phase that control
+    /// has accepted to `committed`.
     pub(crate) fn new(
         client: Arc<ControlClient>,
         announcement: AnnounceRequest,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Announces the target, again and again until control accepts it.
+    /// Announces the target; retries until control accepts it.
     pub(crate) async fn announce(&mut self) -> AnnounceReceipt {
         loop {
             self.announcement.phase = *self.phase.borrow_and_update();
@@ -59,18 +59,18 @@
                 }
                 Err(error) => {
                     log_event!(warn, AgentEvent::AnnounceFailed, %error);
-                    tokio::time::sleep(RETRY_MILLIS.duration()).await;
+                    tokio::time::sleep(ANNOUNCE_RETRY_MILLIS.duration()).await;
                 }
             }
         }
     }
 
-    /// Keeps the lease and announces each change of the phase.
+    /// Renews the lease and announces each change of the phase.
     pub(crate) async fn run(mut self, receipt: AnnounceReceipt) {
         let service = receipt.service;
         let mut lease = receipt.lease;
         loop {
-            let pause = SpanMillis::new(lease.millis() / BEATS_PER_LEASE);
+            let interval = SpanMillis::new(lease.millis() / HEARTBEATS_PER_LEASE);
             let is_changed = tokio::select! {
                 changed = self.phase.changed() => {
                     if changed.is_err() {
@@ -78,7 +78,7 @@
                     }
                     true
                 }
-                () = tokio::time::sleep(pause.duration()) => false,
+                () = tokio::time::sleep(interval.duration()) => false,
             };
             if is_changed || !self.renew(&mut lease).await {
                 let receipt = self.announce().await;
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Sends a heartbeat and returns whether control knows the registration.
+    /// Sends a heartbeat; returns false if control does not know the registration.
     async fn renew(&self, lease: &mut SpanMillis) -> bool {
         let request = HeartbeatRequest {
             target: self.announcement.target,
@@ -105,13 +105,13 @@
                 log_event!(warn, AgentEvent::LeaseLost);
                 false
             }
-            // Control may be away for long; the next beat tries again.
+            // Control may be unreachable for long; the next heartbeat tries again.
             Err(_) => true,
         }
     }
 }
 
-/// Takes a target out for good; control may be away, so it is tried once.
+/// Withdraws the target; tried only once, since control may be unreachable.
 pub(crate) async fn withdraw_target(client: &ControlClient, announcement: &AnnounceRequest) {
     let request = WithdrawRequest {
         target: announcement.target,
--- a/src/agent/node/open_work_gauge.rs
+++ b/src/agent/node/open_work_gauge.rs
@@ -5,12 +5,12 @@
 
 use crate::agent::drain::OpenWork;
 
-/// What kind of work is open.
+/// The kind of open work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum OpenWorkKind {
     /// A request that holds a slot.
     Running,
-    /// A request that waits for one.
+    /// A request that waits for a slot.
     Waiting,
     /// A stream that holds no slot.
     Stream,
@@ -18,7 +18,7 @@
     Relayed,
 }
 
-/// Counts the work that is open at this agent.
+/// Counts the open work at this agent.
 #[derive(Debug, Default)]
 pub(crate) struct OpenWorkGauge {
     running: AtomicU32,
@@ -27,7 +27,7 @@
     relayed: AtomicU32,
 }
 
-/// One piece of open work; it is counted until this is dropped.
+/// Counts one piece of open work until it is dropped.
 #[derive(Debug)]
 pub(crate) struct OpenWorkGuard {
     gauge: Arc<OpenWorkGauge>,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Returns what is open now.
+    /// Returns the open work now.
     pub(crate) fn read(&self) -> OpenWork {
         let read = |kind| self.counter(kind).load(Ordering::Relaxed);
         OpenWork {
--- a/src/agent/tests.rs
+++ b/src/agent/tests.rs
@@ -1,4 +1,4 @@
-//! What the property tests of the agent share.
+//! Shared configuration of the agent's property tests.
 
 use proptest::{
     prelude::ProptestConfig,
