--- a/src/agent/endpoint/answer_paths.rs
+++ b/src/agent/endpoint/answer_paths.rs
@@ -73,7 +73,7 @@
     }
 
     /// Removes a balancer that is about to stop.
-    pub(super) fn forget(&mut self, balancer: SocketAddrV4) {
+    pub(super) fn remove(&mut self, balancer: SocketAddrV4) {
         self.paths.retain(|path| path.balancer != balancer);
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Removes the paths to idle balancers.
-    pub(super) fn forget_idle(&mut self, now: ClockMillis) {
+    pub(super) fn remove_idle(&mut self, now: ClockMillis) {
         self.paths
             .retain(|path| now.since(path.last_frame_at) < IDLE_TIMEOUT_MILLIS);
     }
--- a/src/agent/endpoint/frame_dispatch.rs
+++ b/src/agent/endpoint/frame_dispatch.rs
@@ -45,7 +45,7 @@
                 None
             }
             FrameKind::Leave => {
-                self.lock_paths().forget(source);
+                self.lock_paths().remove(source);
                 None
             }
             FrameKind::Answer => {
--- a/src/agent/endpoint/tests/duplicated_first_packets.rs
+++ b/src/agent/endpoint/tests/duplicated_first_packets.rs
@@ -129,12 +129,12 @@
     for round in 0..5u8 {
         let (mut send, mut receive) = connection.open_bi().await.expect("an open connection");
         let bytes = vec![round; ECHO_BYTES];
-        send.write_all(&bytes).await.expect("a whole request");
+        send.write_all(&bytes).await.expect("a complete request");
         send.finish().expect("an open stream");
         let echo = receive
             .read_to_end(ECHO_BYTES)
             .await
-            .expect("a whole answer");
+            .expect("a complete answer");
         assert_eq!(echo, bytes);
     }
 }
@@ -171,6 +171,6 @@
         tokio::time::timeout(Duration::from_secs(60), caller)
             .await
             .expect("an answer")
-            .expect("a whole connection");
+            .expect("a working connection");
     }
 }
--- a/src/agent/endpoint/tunnel_socket.rs
+++ b/src/agent/endpoint/tunnel_socket.rs
@@ -147,7 +147,7 @@
         let now = self.clock.now();
         let probes = {
             let mut paths = self.lock_paths();
-            paths.forget_idle(now);
+            paths.remove_idle(now);
             paths.due_probes(now)
         };
         for (balancer, number) in probes {
--- a/src/agent/node/agent_dump.rs
+++ b/src/agent/node/agent_dump.rs
@@ -12,7 +12,7 @@
     key::{DomainName, IncarnationId},
 };
 
-/// The whole state of an agent, for a dump.
+/// The state of an agent, for a dump.
 #[derive(Debug, Clone, Serialize)]
 pub struct AgentDump {
     /// The agent's name.
--- a/src/agent/node/agent_error.rs
+++ b/src/agent/node/agent_error.rs
@@ -17,11 +17,11 @@
     #[error(transparent)]
     #[diagnostic(transparent)]
     Admin(#[from] AdminError),
-    /// The deployment secret is invalid.
+    /// The deployment secret can't be loaded.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Secret(#[from] SecretError),
-    /// The certificate is invalid.
+    /// The certificate can't be loaded.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Tls(#[from] TlsError),
--- a/src/agent/node/agent_node.rs
+++ b/src/agent/node/agent_node.rs
@@ -71,8 +71,8 @@
     ///
     /// # Errors
     ///
-    /// Fails when the secret or the certificate is invalid, or an address can't
-    /// be bound.
+    /// Fails when the secret or the certificate can't be loaded, or an address
+    /// can't be bound.
     pub async fn start(settings: &AgentSettings) -> Result<Self, AgentError> {
         let secret = SecretStore::open(settings.secret_file.clone())?;
         let certificates = CertificateStore::open(settings.tls.clone())?;
--- a/src/agent/relay/answer_sink.rs
+++ b/src/agent/relay/answer_sink.rs
@@ -48,7 +48,7 @@
 }
 
 impl AnswerSink {
-    /// Sends the answer to a caller.
+    /// Creates the sink of an answer to a caller.
     pub(super) fn caller(stream: RequestStream<h3_quinn::SendStream<Bytes>, Bytes>) -> Self {
         Self {
             transport: SinkTransport::Caller(Box::new(stream)),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Sends the answer to another agent.
+    /// Creates the sink of an answer to another agent.
     pub(super) fn peer(
         head: oneshot::Sender<Response<()>>,
         body: mpsc::Sender<PeerBodyPart>,
--- a/src/agent/relay/driver_actions.rs
+++ b/src/agent/relay/driver_actions.rs
@@ -192,14 +192,14 @@
         place: RunPlace,
         body: RequestBody,
     ) -> http::Request<RequestBody> {
-        let left = self.profile.deadline.since(self.coordinator.now());
+        let time_left = self.profile.deadline.since(self.coordinator.now());
         let purpose = match place {
-            RunPlace::Own => return upstream_request(&self.head, body, left),
+            RunPlace::Own => return upstream_request(&self.head, body, time_left),
             RunPlace::Peer(_) => self.grant.map_or(PeerPurpose::Retry, PeerPurpose::Claim),
             RunPlace::TicketHome(_) => PeerPurpose::Ticket,
         };
         let keys = self.coordinator.secret().keys();
-        peer_request(&self.head, body, left, purpose, &keys)
+        peer_request(&self.head, body, time_left, purpose, &keys)
     }
 
     pub(super) fn deadline_mode(&self) -> DeadlineMode {
--- a/src/agent/relay/peer_head.rs
+++ b/src/agent/relay/peer_head.rs
@@ -22,9 +22,9 @@
 pub(super) enum PeerPurpose {
     /// The receiver granted a slot to this claim.
     Claim(ClaimKey),
-    /// The receiver holds the outcome of the request's ticket.
+    /// The receiver is responsible for the request's ticket.
     Ticket,
-    /// A retry; an earlier attempt elsewhere failed.
+    /// A retry: an earlier attempt did not run, or the request is idempotent.
     Retry,
     /// The sender is leaving and hands over its tickets.
     Handover,
@@ -54,7 +54,9 @@
 }
 
 impl PeerHead {
-    /// Adds the headers with a proof that also covers `body`.
+    /// Adds the headers with a proof over them and `body`.
+    ///
+    /// Relayed requests pass an empty body, since theirs may be a stream.
     pub(super) fn sign(
         purpose: PeerPurpose,
         (method, uri, headers): (&Method, &Uri, &mut HeaderMap),
--- a/src/agent/relay/request_body.rs
+++ b/src/agent/relay/request_body.rs
@@ -10,7 +10,8 @@
 use hyper::body::Incoming;
 use tokio::sync::oneshot;
 
-/// How much of a body is buffered before the request asks for a slot, in bytes.
+/// Bodies up to this length are buffered completely before the request asks for
+/// a slot, in bytes.
 const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 
 /// The source of a request's body.
--- a/src/agent/relay/request_driver.rs
+++ b/src/agent/relay/request_driver.rs
@@ -114,7 +114,7 @@
         self.machine.start_at(RunPlace::Own);
     }
 
-    /// Relays the request to the agent that holds its ticket.
+    /// Relays the request to the agent that is responsible for its ticket.
     ///
     /// If that one does not know the ticket, the `fallback_homes` are tried in turn.
     pub(super) fn relay_to_home(&mut self, first: TargetKey, fallback_homes: Vec<TargetKey>) {
@@ -201,15 +201,13 @@
                 }
             };
             return match result {
-                Ok((connection, response)) => {
-                    self.handle_response(place, connection, response).await
-                }
+                Ok((connection, response)) => self.handle_answer(place, connection, response).await,
                 Err(error) => self.handle_attempt_error(place, &error).await,
             };
         }
     }
 
-    async fn handle_response(
+    async fn handle_answer(
         &mut self,
         place: RunPlace,
         connection: RelayConnection,
--- a/src/agent/relay/request_head.rs
+++ b/src/agent/relay/request_head.rs
@@ -19,7 +19,7 @@
 pub(super) fn upstream_request(
     head: &Parts,
     body: RequestBody,
-    left: SpanMillis,
+    time_left: SpanMillis,
 ) -> Request<RequestBody> {
     let mut request = Request::new(body);
     *request.method_mut() = head.method.clone();
@@ -29,8 +29,8 @@
         // hyper sets the length of the buffered body; the caller's may be wrong.
         request.headers_mut().remove(header::CONTENT_LENGTH);
     }
-    let left = HeaderValue::from(left.millis());
-    request.headers_mut().insert(DEADLINE_HEADER, left);
+    let time_left = HeaderValue::from(time_left.millis());
+    request.headers_mut().insert(DEADLINE_HEADER, time_left);
     request
 }
 
@@ -38,11 +38,11 @@
 pub(super) fn peer_request(
     head: &Parts,
     body: RequestBody,
-    left: SpanMillis,
+    time_left: SpanMillis,
     purpose: PeerPurpose,
     ring: &KeyRing,
 ) -> Request<RequestBody> {
-    let mut request = upstream_request(head, body, left);
+    let mut request = upstream_request(head, body, time_left);
     let uri = request.uri().clone();
     let method = request.method().clone();
     PeerHead::sign(purpose, (&method, &uri, request.headers_mut()), b"", ring);
--- a/src/agent/relay/request_server.rs
+++ b/src/agent/relay/request_server.rs
@@ -283,7 +283,7 @@
     })
 }
 
-/// Returns the peers that may hold a ticket, in the order to try.
+/// Returns the peers that may be responsible for a ticket, in the order to try.
 fn ticket_targets(coordinator: &RequestCoordinator, ticket: SealedTicket) -> Vec<TargetKey> {
     let peers = coordinator.peers();
     let home = peers
