--- a/src/agent/endpoint/first_packet_gate.rs
+++ b/src/agent/endpoint/first_packet_gate.rs
@@ -55,7 +55,7 @@
         destination: &[u8],
         chain: TargetChain,
         next_load: Option<PeerLoad>,
-        gauge: &LoadGauge,
+        load_gauge: &LoadGauge,
         now: ClockMillis,
     ) -> FirstPacketVerdict {
         let Some(cid) = ClientCid::new(destination) else {
@@ -71,7 +71,7 @@
             place,
             next: next_load,
         };
-        let verdict = self.lock().admit(offer, gauge.read(), now);
+        let verdict = self.lock().admit(offer, load_gauge.read(), now);
         match (verdict, chain.split_first()) {
             (AdmissionVerdict::PassOn, Some((next, rest))) => {
                 FirstPacketVerdict::PassOn { next, rest }
@@ -84,7 +84,7 @@
     pub(super) fn verdict(
         &self,
         destination: &[u8],
-        gauge: &LoadGauge,
+        load_gauge: &LoadGauge,
         now: ClockMillis,
     ) -> AdmissionVerdict {
         let Some(cid) = ClientCid::new(destination) else {
@@ -95,6 +95,6 @@
             place: CandidatePlace::Last,
             next: None,
         };
-        self.lock().admit(offer, gauge.read(), now)
+        self.lock().admit(offer, load_gauge.read(), now)
     }
 }
--- a/src/agent/endpoint/frame_dispatch.rs
+++ b/src/agent/endpoint/frame_dispatch.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Refuses a datagram of another service.
+    /// Refuses a datagram for another service.
     ///
     /// If its connection belonged to an earlier target at this address, that
     /// target is gone, and the caller gets a stateless reset.
@@ -148,7 +148,7 @@
             packet.destination,
             header.chain,
             next_load,
-            &self.gauge,
+            &self.load_gauge,
             self.clock.now(),
         );
         match verdict {
--- a/src/agent/endpoint/tests/duplicated_first_packets.rs
+++ b/src/agent/endpoint/tests/duplicated_first_packets.rs
@@ -55,9 +55,9 @@
         incarnation: IncarnationId::random(),
     };
     let gate = AdmissionGate::new(AcceptRule::HashOnly, AgentPhase::Serving);
-    let gauge = Arc::new(LoadGauge::new(ServiceLimits::default()));
+    let load_gauge = Arc::new(LoadGauge::new(ServiceLimits::default()));
     let (inbox, _) = mpsc::channel(PEER_INBOX_CAPACITY);
-    let socket = TunnelSocket::new(io, identity, secret.clone(), gate, gauge, inbox);
+    let socket = TunnelSocket::new(io, identity, secret.clone(), gate, load_gauge, inbox);
     let lifetime = SpanMillis::new(60_000);
     let endpoint = open_endpoint(Arc::new(socket), secret.clone(), certificates, lifetime)
         .expect("a good certificate");
--- a/src/agent/endpoint/tunnel_counters.rs
+++ b/src/agent/endpoint/tunnel_counters.rs
@@ -20,7 +20,7 @@
     Answered,
     /// A frame was truncated, unknown, not authentic or not meant for agents.
     BadFrame,
-    /// A datagram belonged to another service.
+    /// A datagram was for another service.
     OtherService,
     /// A datagram was for another agent.
     OtherTarget,
@@ -46,7 +46,7 @@
     pub answered: u64,
     /// Frames that were truncated, unknown, not authentic or not meant for agents.
     pub bad_frames: u64,
-    /// Datagrams of another service.
+    /// Datagrams for another service.
     pub other_service: u64,
     /// Datagrams for another agent.
     pub other_target: u64,
--- a/src/agent/endpoint/tunnel_socket.rs
+++ b/src/agent/endpoint/tunnel_socket.rs
@@ -43,11 +43,11 @@
     pub(super) secret: SecretStore,
     pub(super) clock: ProcessClock,
     pub(super) gate: FirstPacketGate,
-    pub(super) gauge: Arc<LoadGauge>,
+    pub(super) load_gauge: Arc<LoadGauge>,
     pub(super) counters: TunnelCounters,
     paths: Mutex<AnswerPaths>,
     peer_loads: Mutex<HashMap<TargetKey, PeerLoad>>,
-    resets: ResetWriter,
+    reset_writer: ResetWriter,
     pub(super) inbox: mpsc::Sender<PeerDatagram>,
 }
 
@@ -58,17 +58,17 @@
         identity: TargetIdentity,
         secret: SecretStore,
         gate: AdmissionGate,
-        gauge: Arc<LoadGauge>,
+        load_gauge: Arc<LoadGauge>,
         inbox: mpsc::Sender<PeerDatagram>,
     ) -> Self {
         Self {
             io: Arc::new(io),
             identity,
-            resets: ResetWriter::new(secret.clone()),
+            reset_writer: ResetWriter::new(secret.clone()),
             secret,
             clock: ProcessClock::new(),
             gate: FirstPacketGate::new(gate),
-            gauge,
+            load_gauge,
             counters: TunnelCounters::default(),
             paths: Mutex::new(AnswerPaths::new()),
             peer_loads: Mutex::new(HashMap::new()),
@@ -107,14 +107,14 @@
     }
 
     /// Returns the counts of the admission gate.
-    pub(crate) fn admission(&self) -> crate::agent::admission::AdmissionCounts {
+    pub(crate) fn admission_counts(&self) -> crate::agent::admission::AdmissionCounts {
         self.gate.lock().counts()
     }
 
     /// Returns the verdict on a connection attempt at the endpoint.
     pub(crate) fn verdict(&self, destination: &[u8]) -> AdmissionVerdict {
         self.gate
-            .verdict(destination, &self.gauge, self.clock.now())
+            .verdict(destination, &self.load_gauge, self.clock.now())
     }
 
     /// Stores a peer's load report.
@@ -159,7 +159,7 @@
 
     /// Sends a stateless reset for `datagram` through `balancer`.
     pub(super) fn send_reset(&self, balancer: SocketAddrV4, header: &FrameHeader, datagram: &[u8]) {
-        let Some(reset) = self.resets.write(datagram, self.clock.now()) else {
+        let Some(reset) = self.reset_writer.write(datagram, self.clock.now()) else {
             return;
         };
         let answer = FrameHeader::new(FrameKind::Answer, header.service, header.caller);
--- a/src/agent/node/agent_node.rs
+++ b/src/agent/node/agent_node.rs
@@ -256,7 +256,7 @@
             load: self.load_gauge.read(),
             drain: self.drain_report().await,
             requests: self.coordinator.counts(),
-            admission: self.socket.admission(),
+            admission: self.socket.admission_counts(),
             balancers: self.socket.list_paths(),
             tunnel: self.socket.counters().read(),
         }
--- a/src/agent/node/drain_actor.rs
+++ b/src/agent/node/drain_actor.rs
@@ -36,7 +36,8 @@
     pub(crate) exit: watch::Sender<bool>,
 }
 
-/// Runs the agent's drain: feeds the state machine and performs its actions.
+/// Runs the agent's drain: feeds its state machine one event at a time and
+/// performs the actions.
 #[derive(Debug, Actor)]
 pub(crate) struct DrainActor {
     machine: DrainMachine,
