--- a/src/secret/deployment_secret.rs
+++ b/src/secret/deployment_secret.rs
@@ -7,21 +7,21 @@
 
 /// The length of an epoch's secret in bytes.
 const SECRET_BYTES: usize = 32;
-/// Permission bits of group and others.
-const FOREIGN_MODE: u32 = 0o077;
-/// The most epochs that are live at once.
-const MOST_EPOCHS: usize = 2;
-/// The bits of an epoch's number that a packet carries.
+/// The permission bits of group and others.
+const NON_OWNER_MODE_BITS: u32 = 0o077;
+/// The most epochs that are accepted at the same time.
+const MAX_EPOCHS: usize = 2;
+/// The bits of an epoch's number that packets carry.
 const EPOCH_MASK: u8 = 0b11;
 
-/// One generation of the secret.
+/// The secret of one key epoch.
 #[serde_as]
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SecretEpoch {
-    /// The generation's number; consecutive generations differ by one.
+    /// The epoch's number; consecutive epochs differ by one.
     pub epoch: u8,
-    /// Thirty-two bytes, as hexadecimal digits in the file.
+    /// 32 bytes, written as hexadecimal digits in the file.
     #[serde_as(as = "Hex")]
     pub secret: Vec<u8>,
 }
@@ -32,18 +32,18 @@
     }
 }
 
-/// What the secret file holds: one generation, or two while a rotation runs.
+/// The content of the secret file: one epoch, or two during a rotation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DeploymentSecret {
-    /// The generation that new connection IDs, frames and calls use.
+    /// The epoch that new connection IDs, frames and calls use.
     pub active: u8,
-    /// Every generation that is still accepted.
+    /// Every epoch that is accepted.
     pub epochs: Vec<SecretEpoch>,
 }
 
 impl DeploymentSecret {
-    /// Draws a fresh secret with a single generation.
+    /// Generates a random secret with a single epoch.
     #[must_use]
     pub fn random(epoch: u8) -> Self {
         let secret: [u8; SECRET_BYTES] = rand::random();
@@ -56,11 +56,12 @@
         }
     }
 
-    /// Reads and verifies the secret in the file at `path`.
+    /// Reads and validates the secret file at `path`.
     ///
     /// # Errors
     ///
-    /// Fails when others may read the file, or when its content is unusable.
+    /// Fails when group or others have any permission on the file, or when its
+    /// content is invalid.
     pub fn load(path: &Path) -> Result<Self, SecretError> {
         let unreadable = |cause| SecretError::Unreadable {
             path: path.to_owned(),
@@ -68,8 +69,8 @@
         };
         let metadata = fs::metadata(path).map_err(unreadable)?;
         let mode = metadata.permissions().mode() & 0o777;
-        if mode & FOREIGN_MODE != 0 {
-            return Err(SecretError::Exposed {
+        if mode & NON_OWNER_MODE_BITS != 0 {
+            return Err(SecretError::InsecurePermissions {
                 path: path.to_owned(),
                 mode,
             });
@@ -84,14 +85,14 @@
         Ok(secret)
     }
 
-    /// Verifies the number, the lengths and the numbering of the generations.
+    /// Checks the number of epochs, their lengths and their numbers.
     ///
     /// # Errors
     ///
-    /// Fails with the first rule that is broken.
+    /// Fails with the first violation found.
     pub fn verify(&self) -> Result<(), SecretError> {
         let count = self.epochs.len();
-        if count == 0 || count > MOST_EPOCHS {
+        if count == 0 || count > MAX_EPOCHS {
             return Err(SecretError::EpochCount { count });
         }
         for epoch in &self.epochs {
@@ -105,13 +106,13 @@
         if let [first, second] = self.epochs.as_slice()
             && first.epoch & EPOCH_MASK == second.epoch & EPOCH_MASK
         {
-            return Err(SecretError::EpochClash {
+            return Err(SecretError::AmbiguousEpochs {
                 first: first.epoch,
                 second: second.epoch,
             });
         }
         if !self.epochs.iter().any(|epoch| epoch.epoch == self.active) {
-            return Err(SecretError::ActiveMissing {
+            return Err(SecretError::UnknownActiveEpoch {
                 active: self.active,
             });
         }
--- a/src/secret/key_ring.rs
+++ b/src/secret/key_ring.rs
@@ -9,24 +9,25 @@
 
 use super::{DeploymentSecret, SecretError};
 
-/// The salt of every derivation, so that the secret serves this system alone.
+/// The HKDF salt; separates these keys from those that another system derives
+/// from the same secret.
 const DERIVATION_SALT: &[u8] = b"cyclamenrouter key derivation 1";
-/// The bits of an epoch's number that a packet carries.
+/// The bits of an epoch's number that packets carry.
 const EPOCH_MASK: u8 = 0b11;
 
-/// The keys that are derived from one generation of the secret.
+/// The keys that are derived from the secret of one epoch.
 pub struct EpochKeys {
-    /// The low bits of the generation's number, as packets carry them.
+    /// The low bits of the epoch's number, as packets carry them.
     pub epoch_bits: u8,
     /// Encrypts the routing block of connection IDs.
     pub route_cipher: Aes128,
     /// Authenticates the headers of tunnel frames.
     pub tunnel_mac: Cmac<Aes128>,
-    /// Proves calls between processes.
+    /// Authenticates calls and replies between processes.
     pub call_key: hmac::Key,
     /// Derives stateless reset tokens.
     pub reset_key: hmac::Key,
-    /// Seals tickets.
+    /// Authenticates tickets.
     pub ticket_key: hmac::Key,
 }
 
@@ -38,19 +39,19 @@
 
 impl EpochKeys {
     fn derive(epoch: u8, secret: &[u8]) -> Self {
-        let base = hkdf::Salt::new(hkdf::HKDF_SHA256, DERIVATION_SALT).extract(secret);
+        let prk = hkdf::Salt::new(hkdf::HKDF_SHA256, DERIVATION_SALT).extract(secret);
         Self {
             epoch_bits: epoch & EPOCH_MASK,
-            route_cipher: derive_cipher(&base, b"route"),
-            tunnel_mac: derive_mac(&base, b"tunnel"),
-            call_key: derive_hmac(&base, b"call"),
-            reset_key: derive_hmac(&base, b"reset"),
-            ticket_key: derive_hmac(&base, b"ticket"),
+            route_cipher: derive_cipher(&prk, b"route"),
+            tunnel_mac: derive_mac(&prk, b"tunnel"),
+            call_key: derive_hmac_key(&prk, b"call"),
+            reset_key: derive_hmac_key(&prk, b"reset"),
+            ticket_key: derive_hmac_key(&prk, b"ticket"),
         }
     }
 }
 
-/// Every live generation of the derived keys.
+/// The derived keys of every accepted epoch.
 #[derive(Debug)]
 pub struct KeyRing {
     active: usize,
@@ -58,18 +59,18 @@
 }
 
 impl KeyRing {
-    /// Derives the keys of every generation.
+    /// Derives the keys of every epoch.
     ///
     /// # Errors
     ///
-    /// Fails when the secret does not verify.
+    /// Fails when the secret is invalid.
     pub fn new(secret: &DeploymentSecret) -> Result<Self, SecretError> {
         secret.verify()?;
         let active = secret
             .epochs
             .iter()
             .position(|epoch| epoch.epoch == secret.active)
-            .ok_or(SecretError::ActiveMissing {
+            .ok_or(SecretError::UnknownActiveEpoch {
                 active: secret.active,
             })?;
         let epochs = secret
@@ -86,7 +87,7 @@
         &self.epochs[self.active]
     }
 
-    /// Returns the keys whose generation ends in `epoch_bits`, if live.
+    /// Returns the keys of the epoch whose low bits are `epoch_bits`, if accepted.
     #[must_use]
     pub fn find(&self, epoch_bits: u8) -> Option<&EpochKeys> {
         self.epochs
@@ -94,32 +95,32 @@
             .find(|keys| keys.epoch_bits == epoch_bits)
     }
 
-    /// Returns every live generation, in the order of the file.
+    /// Returns the keys of every accepted epoch, in the order of the file.
     #[must_use]
     pub fn epochs(&self) -> &[EpochKeys] {
         &self.epochs
     }
 }
 
-fn derive_cipher(base: &hkdf::Prk, label: &[u8]) -> Aes128 {
+fn derive_cipher(prk: &hkdf::Prk, label: &[u8]) -> Aes128 {
     let mut key = [0; 16];
-    expand(base, label, &mut key);
+    expand_key(prk, label, &mut key);
     Aes128::new(GenericArray::from_slice(&key))
 }
 
-fn derive_mac(base: &hkdf::Prk, label: &[u8]) -> Cmac<Aes128> {
+fn derive_mac(prk: &hkdf::Prk, label: &[u8]) -> Cmac<Aes128> {
     let mut key = [0; 16];
-    expand(base, label, &mut key);
+    expand_key(prk, label, &mut key);
     Cmac::new(GenericArray::from_slice(&key))
 }
 
-fn derive_hmac(base: &hkdf::Prk, label: &[u8]) -> hmac::Key {
+fn derive_hmac_key(prk: &hkdf::Prk, label: &[u8]) -> hmac::Key {
     let mut key = [0; 32];
-    expand(base, label, &mut key);
+    expand_key(prk, label, &mut key);
     hmac::Key::new(hmac::HMAC_SHA256, &key)
 }
 
-/// The length of a derived key, for the derivation function.
+/// The length of a derived key in bytes, for HKDF.
 struct KeyLength(usize);
 
 impl hkdf::KeyType for KeyLength {
@@ -128,9 +129,9 @@
     }
 }
 
-fn expand(base: &hkdf::Prk, label: &[u8], key: &mut [u8]) {
+fn expand_key(prk: &hkdf::Prk, label: &[u8], key: &mut [u8]) {
     let info = [label];
-    base.expand(&info, KeyLength(key.len()))
-        .and_then(|material| material.fill(key))
+    prk.expand(&info, KeyLength(key.len()))
+        .and_then(|output| output.fill(key))
         .expect("a key of at most 32 bytes is within the limit of HKDF-SHA256");
 }
--- a/src/secret/mod.rs
+++ b/src/secret/mod.rs
@@ -1,4 +1,4 @@
-//! The one secret of a deployment and the keys that are derived from it.
+//! The shared secret of a deployment, its rotation and the keys derived from it.
 
 mod deployment_secret;
 mod key_ring;
--- a/src/secret/secret_rotation.rs
+++ b/src/secret/secret_rotation.rs
@@ -1,15 +1,15 @@
 use super::{DeploymentSecret, SecretError};
 
 impl DeploymentSecret {
-    /// Returns the secret with a further epoch that is accepted, not used.
+    /// Adds the next epoch, which is accepted but not yet active.
     ///
     /// # Errors
     ///
-    /// Fails when a rotation runs already.
+    /// Fails when a rotation is already in progress.
     pub fn with_next_epoch(mut self) -> Result<Self, SecretError> {
         let count = self.epochs.len();
         if count != 1 {
-            return Err(SecretError::RotationRuns { count });
+            return Err(SecretError::RotationInProgress { count });
         }
         let next = Self::random(self.active.wrapping_add(1));
         self.epochs.extend(next.epochs);
@@ -17,11 +17,11 @@
         Ok(self)
     }
 
-    /// Returns the secret with the epoch in use that was added last.
+    /// Makes the epoch that was added last the active one.
     ///
     /// # Errors
     ///
-    /// Fails when no rotation runs.
+    /// Fails when no rotation is in progress.
     pub fn with_newest_active(mut self) -> Result<Self, SecretError> {
         let [_, newest] = self.epochs.as_slice() else {
             return Err(SecretError::NoRotation);
@@ -30,11 +30,11 @@
         Ok(self)
     }
 
-    /// Returns the secret without the epoch that is no longer used.
+    /// Removes the old epoch, which is no longer active.
     ///
     /// # Errors
     ///
-    /// Fails when the added epoch is not in use yet, or no rotation runs.
+    /// Fails when the added epoch is not active yet, or no rotation is in progress.
     pub fn with_active_alone(mut self) -> Result<Self, SecretError> {
         let [old, _] = self.epochs.as_slice() else {
             return Err(SecretError::NoRotation);
--- a/src/secret/tests.rs
+++ b/src/secret/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of reading the secret and deriving keys.
+//! Tests of reading the secret file and deriving keys.
 
 use std::{fs, os::unix::fs::PermissionsExt};
 
@@ -7,30 +7,30 @@
 fn write_secret(mode: u32) -> (tempfile::TempDir, std::path::PathBuf) {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let path = folder.path().join("secret.json");
-    let text = serde_json::to_string(&DeploymentSecret::random(1)).expect("plain JSON");
-    fs::write(&path, text).expect("a writable folder");
-    fs::set_permissions(&path, fs::Permissions::from_mode(mode)).expect("own file");
+    let text = serde_json::to_string(&DeploymentSecret::random(1)).expect("the secret serializes");
+    fs::write(&path, text).expect("the file is written");
+    fs::set_permissions(&path, fs::Permissions::from_mode(mode)).expect("the mode is set");
     (folder, path)
 }
 
 #[test]
-fn a_file_that_others_can_read_is_refused() {
+fn a_group_readable_secret_file_is_rejected() {
     let (_folder, path) = write_secret(0o640);
     assert!(matches!(
         DeploymentSecret::load(&path),
-        Err(SecretError::Exposed { mode: 0o640, .. })
+        Err(SecretError::InsecurePermissions { mode: 0o640, .. })
     ));
 }
 
 #[test]
-fn a_private_file_is_read_back_whole() {
+fn a_private_secret_file_loads() {
     let (_folder, path) = write_secret(0o600);
-    let secret = DeploymentSecret::load(&path).expect("a good secret");
+    let secret = DeploymentSecret::load(&path).expect("a valid secret");
     assert!(KeyRing::new(&secret).is_ok());
 }
 
 #[test]
-fn epochs_that_packets_cannot_tell_apart_are_refused() {
+fn epochs_with_equal_low_bits_are_rejected() {
     let mut secret = DeploymentSecret::random(1);
     secret.epochs.push(SecretEpoch {
         epoch: 5,
@@ -38,6 +38,6 @@
     });
     assert!(matches!(
         secret.verify(),
-        Err(SecretError::EpochClash { .. })
+        Err(SecretError::AmbiguousEpochs { .. })
     ));
 }
