--- a/src/proof/call_proof.rs
+++ b/src/proof/call_proof.rs
@@ -11,34 +11,36 @@
     secret::{EpochKeys, KeyRing},
 };
 
-/// The largest distance between the clocks of caller and server.
-const WINDOW_MILLIS: SpanMillis = SpanMillis::new(30_000);
-/// Keeps call signatures apart from every other use of the key.
+/// The largest accepted difference between the clocks of caller and server.
+const MAX_CLOCK_OFFSET_MILLIS: SpanMillis = SpanMillis::new(30_000);
+/// Domain separation: no MAC of a call is valid for another use of the key.
 const CALL_LABEL: &[u8] = b"cyclamen call 1";
-/// The bytes of a digest and of a signature.
-const TAG_BYTES: usize = 32;
+/// The length of a SHA-256 digest and of an HMAC-SHA256 in bytes.
+const SHA256_BYTES: usize = 32;
 
-/// The request line that a proof covers.
+/// The part of the HTTP request line that the MAC of a call covers.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct CallLine<'a> {
     /// The HTTP method.
     pub(crate) method: &'a str,
-    /// The path.
+    /// The path; calls between agents append the query and the values of their
+    /// own headers.
     pub(crate) path: &'a str,
 }
 
-/// A caller's proof, as one header carries it.
+/// Authenticates a call: a MAC over the time, a nonce, the digest of the body,
+/// the method and the path, sent in one header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct CallProof {
     epoch_bits: u8,
     time: ClockMillis,
     nonce: u64,
-    body_digest: [u8; TAG_BYTES],
-    tag: [u8; TAG_BYTES],
+    body_digest: [u8; SHA256_BYTES],
+    mac: [u8; SHA256_BYTES],
 }
 
 impl CallProof {
-    /// Signs a call with `keys`.
+    /// Computes the proof of a call with the keys of one epoch.
     pub(crate) fn new(
         keys: &EpochKeys,
         line: CallLine<'_>,
@@ -51,23 +53,23 @@
             time,
             nonce,
             body_digest: digest_body(body),
-            tag: [0; TAG_BYTES],
+            mac: [0; SHA256_BYTES],
         };
-        let tag = hmac::sign(&keys.call_key, &proof.signed_bytes(line));
-        proof.tag.copy_from_slice(tag.as_ref());
+        let mac = hmac::sign(&keys.call_key, &proof.mac_input(line));
+        proof.mac.copy_from_slice(mac.as_ref());
         proof
     }
 
-    /// Reads the value of the header.
+    /// Parses the value of the header [`CALL_HEADER`](super::CALL_HEADER).
     pub(crate) fn parse(text: &str) -> Result<Self, ProofError> {
-        let mut parts = text.split('-');
-        let mut part = || parts.next().ok_or(ProofError::Malformed);
-        let [epoch_bits] = decode_part(part()?)?;
-        let time = u64::from_be_bytes(decode_part(part()?)?);
-        let nonce = u64::from_be_bytes(decode_part(part()?)?);
-        let body_digest = decode_part(part()?)?;
-        let tag = decode_part(part()?)?;
-        if parts.next().is_some() {
+        let mut fields = text.split('-');
+        let mut field = || fields.next().ok_or(ProofError::Malformed);
+        let [epoch_bits] = decode_field(field()?)?;
+        let time = u64::from_be_bytes(decode_field(field()?)?);
+        let nonce = u64::from_be_bytes(decode_field(field()?)?);
+        let body_digest = decode_field(field()?)?;
+        let mac = decode_field(field()?)?;
+        if fields.next().is_some() {
             return Err(ProofError::Malformed);
         }
         Ok(Self {
@@ -75,11 +77,11 @@
             time: ClockMillis::new(time),
             nonce,
             body_digest,
-            tag,
+            mac,
         })
     }
 
-    /// Verifies everything but the body, which need not be read before.
+    /// Verifies the MAC and the time; the body does not have to be read first.
     pub(crate) fn verify(
         &self,
         ring: &KeyRing,
@@ -89,16 +91,16 @@
         let keys = ring.find(self.epoch_bits).ok_or(ProofError::UnknownEpoch {
             epoch_bits: self.epoch_bits,
         })?;
-        hmac::verify(&keys.call_key, &self.signed_bytes(line), &self.tag)
+        hmac::verify(&keys.call_key, &self.mac_input(line), &self.mac)
             .map_err(|_| ProofError::Mismatch)?;
         let offset = now.since(self.time).max(self.time.since(now));
-        if offset > WINDOW_MILLIS {
+        if offset > MAX_CLOCK_OFFSET_MILLIS {
             return Err(ProofError::Stale { offset });
         }
         Ok(())
     }
 
-    /// Verifies that `body` is the one that was signed.
+    /// Verifies that `body` has the digest that the MAC covers.
     pub(crate) fn verify_body(&self, body: &[u8]) -> Result<(), ProofError> {
         if digest_body(body) == self.body_digest {
             Ok(())
@@ -107,12 +109,12 @@
         }
     }
 
-    /// Returns the nonce, which the proof of the answer repeats.
+    /// Returns the nonce, which the MAC of the reply covers too.
     pub(crate) const fn nonce(&self) -> u64 {
         self.nonce
     }
 
-    fn signed_bytes(&self, line: CallLine<'_>) -> Vec<u8> {
+    fn mac_input(&self, line: CallLine<'_>) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(128);
         bytes.extend_from_slice(CALL_LABEL);
         bytes.push(self.epoch_bits);
@@ -135,18 +137,18 @@
             self.time.millis(),
             self.nonce,
             encode_hex(&self.body_digest),
-            encode_hex(&self.tag),
+            encode_hex(&self.mac),
         )
     }
 }
 
-fn decode_part<const N: usize>(text: &str) -> Result<[u8; N], ProofError> {
+fn decode_field<const N: usize>(text: &str) -> Result<[u8; N], ProofError> {
     decode_hex(text).ok_or(ProofError::Malformed)
 }
 
-fn digest_body(body: &[u8]) -> [u8; TAG_BYTES] {
+fn digest_body(body: &[u8]) -> [u8; SHA256_BYTES] {
     let digest = digest::digest(&digest::SHA256, body);
-    let mut bytes = [0; TAG_BYTES];
+    let mut bytes = [0; SHA256_BYTES];
     bytes.copy_from_slice(digest.as_ref());
     bytes
 }
--- a/src/proof/hex_digits.rs
+++ b/src/proof/hex_digits.rs
@@ -1,4 +1,4 @@
-/// Writes bytes as lower-case hexadecimal digits.
+/// Encodes bytes as lower-case hexadecimal digits.
 pub(super) fn encode_hex(bytes: &[u8]) -> String {
     const DIGITS: &[u8; 16] = b"0123456789abcdef";
     let mut text = String::with_capacity(bytes.len() * 2);
@@ -9,7 +9,7 @@
     text
 }
 
-/// Reads exactly `N` bytes of lower-case hexadecimal digits.
+/// Decodes exactly `N` bytes from lower-case hexadecimal digits.
 pub(super) fn decode_hex<const N: usize>(text: &str) -> Option<[u8; N]> {
     let digits = text.as_bytes();
     if digits.len() != N * 2 {
--- a/src/proof/mod.rs
+++ b/src/proof/mod.rs
@@ -1,7 +1,8 @@
-//! The proof that both ends of a call hold the deployment secret.
+//! Mutual authentication of calls with the deployment secret.
 //!
-//! A caller signs the time, a nonce and the digest of the body; the server
-//! verifies that before it reads the body, and signs its answer in turn.
+//! A caller sends a MAC over the time, a nonce, the digest of the body, the
+//! method and the path; the server verifies it before it reads the body. The
+//! reply carries a MAC over that nonce, the status and the digest of its body.
 
 mod call_proof;
 mod hex_digits;
@@ -18,9 +19,9 @@
 pub(crate) use sign_layer::{SignLayer, SignService};
 pub(crate) use wall_clock::wall_now;
 
-/// The header that carries a caller's proof.
+/// The header with the proof of a call.
 pub(crate) const CALL_HEADER: &str = "cyclamen-proof";
-/// The header that carries the proof of an answer.
+/// The header with the proof of a reply.
 pub(crate) const REPLY_HEADER: &str = "cyclamen-reply-proof";
 
 #[cfg(test)]
--- a/src/proof/proof_layer.rs
+++ b/src/proof/proof_layer.rs
@@ -16,10 +16,11 @@
 use super::{CALL_HEADER, CallLine, CallProof, ProofError, REPLY_HEADER, ReplyProof, wall_now};
 use crate::{clock::SpanMillis, secret::SecretStore};
 
-/// The time within which the body of a proven call must arrive.
-const BODY_MILLIS: SpanMillis = SpanMillis::new(10_000);
+/// The timeout for reading the body of an authenticated call.
+const BODY_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(10_000);
 
-/// Lets only proven calls through to a JSON-RPC server, and signs its answers.
+/// Server side: passes only authenticated calls to a JSON-RPC server and adds a
+/// proof to its replies.
 #[derive(Debug, Clone)]
 pub(crate) struct ProofLayer {
     secret: SecretStore,
@@ -27,13 +28,14 @@
 }
 
 impl ProofLayer {
-    /// Verifies against `secret` and reads bodies of at most `body_limit` bytes.
+    /// Creates a layer with the keys of `secret`; bodies are limited to
+    /// `body_limit` bytes.
     pub(crate) fn new(secret: SecretStore, body_limit: usize) -> Self {
         Self { secret, body_limit }
     }
 
-    /// Verifies the header and then the body; nothing is parsed.
-    async fn admit(
+    /// Verifies the header, then reads and verifies the body without parsing it.
+    async fn verify_call(
         &self,
         request: HttpRequest<HttpBody>,
     ) -> Result<(u64, HttpRequest<HttpBody>), ProofError> {
@@ -62,15 +64,15 @@
 
     async fn read_body(&self, body: HttpBody) -> Result<Bytes, ProofError> {
         let limit = self.body_limit;
-        let reading = Limited::new(body, limit).collect();
-        match tokio::time::timeout(BODY_MILLIS.duration(), reading).await {
+        let collecting = Limited::new(body, limit).collect();
+        match tokio::time::timeout(BODY_TIMEOUT_MILLIS.duration(), collecting).await {
             Ok(Ok(collected)) => Ok(collected.to_bytes()),
             Ok(Err(error)) if error.is::<LengthLimitError>() => Err(ProofError::Oversize { limit }),
             Ok(Err(_)) | Err(_) => Err(ProofError::Incomplete),
         }
     }
 
-    async fn sign(
+    async fn add_reply_proof(
         &self,
         nonce: u64,
         response: HttpResponse<HttpBody>,
@@ -126,10 +128,10 @@
         let layer = self.layer.clone();
         let mut inner = self.inner.clone();
         Box::pin(async move {
-            match layer.admit(request).await {
+            match layer.verify_call(request).await {
                 Ok((nonce, request)) => {
                     let response = inner.call(request).await?;
-                    layer.sign(nonce, response).await
+                    layer.add_reply_proof(nonce, response).await
                 }
                 Err(error) => refuse(error),
             }
@@ -137,7 +139,7 @@
     }
 }
 
-/// Counts the refusal and answers without a body that could leak anything.
+/// Counts the refusal and replies with an empty body, which leaks nothing.
 fn refuse(error: ProofError) -> Result<HttpResponse<HttpBody>, BoxError> {
     counter!("cyclamen_call_proof_refused_total", "reason" => error.reason()).increment(1);
     let status = match error {
--- a/src/proof/reply_proof.rs
+++ b/src/proof/reply_proof.rs
@@ -8,39 +8,40 @@
 };
 use crate::secret::{EpochKeys, KeyRing};
 
-/// Keeps answer signatures apart from every other use of the key.
+/// Domain separation: no MAC of a reply is valid for another use of the key.
 const REPLY_LABEL: &[u8] = b"cyclamen reply 1";
-/// The bytes of a signature.
-const TAG_BYTES: usize = 32;
+/// The length of an HMAC-SHA256 in bytes.
+const MAC_BYTES: usize = 32;
 
-/// The proof that an answer belongs to one call and came whole.
+/// Authenticates a reply: a MAC over the nonce of its call, the HTTP status and
+/// the digest of the body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ReplyProof {
     epoch_bits: u8,
-    tag: [u8; TAG_BYTES],
+    mac: [u8; MAC_BYTES],
 }
 
 impl ReplyProof {
-    /// Signs the answer to the call with `nonce`.
+    /// Computes the proof of the reply to the call with `nonce`.
     pub(crate) fn new(keys: &EpochKeys, nonce: u64, status: u16, body: &[u8]) -> Self {
-        let signature = hmac::sign(&keys.call_key, &signed_bytes(nonce, status, body));
-        let mut tag = [0; TAG_BYTES];
-        tag.copy_from_slice(signature.as_ref());
+        let computed = hmac::sign(&keys.call_key, &mac_input(nonce, status, body));
+        let mut mac = [0; MAC_BYTES];
+        mac.copy_from_slice(computed.as_ref());
         Self {
             epoch_bits: keys.epoch_bits,
-            tag,
+            mac,
         }
     }
 
-    /// Reads the value of the header.
+    /// Parses the value of the header [`REPLY_HEADER`](super::REPLY_HEADER).
     pub(crate) fn parse(text: &str) -> Result<Self, ProofError> {
-        let (epoch, tag) = text.split_once('-').ok_or(ProofError::Malformed)?;
+        let (epoch, mac) = text.split_once('-').ok_or(ProofError::Malformed)?;
         let [epoch_bits] = decode_hex(epoch).ok_or(ProofError::Malformed)?;
-        let tag = decode_hex(tag).ok_or(ProofError::Malformed)?;
-        Ok(Self { epoch_bits, tag })
+        let mac = decode_hex(mac).ok_or(ProofError::Malformed)?;
+        Ok(Self { epoch_bits, mac })
     }
 
-    /// Verifies that the answer was made for the call with `nonce`.
+    /// Verifies that the reply is unchanged and belongs to the call with `nonce`.
     pub(crate) fn verify(
         &self,
         ring: &KeyRing,
@@ -51,8 +52,8 @@
         let keys = ring.find(self.epoch_bits).ok_or(ProofError::UnknownEpoch {
             epoch_bits: self.epoch_bits,
         })?;
-        let bytes = signed_bytes(nonce, status, body);
-        hmac::verify(&keys.call_key, &bytes, &self.tag).map_err(|_| ProofError::Mismatch)
+        let bytes = mac_input(nonce, status, body);
+        hmac::verify(&keys.call_key, &bytes, &self.mac).map_err(|_| ProofError::Mismatch)
     }
 }
 
@@ -62,12 +63,12 @@
             formatter,
             "{:02x}-{}",
             self.epoch_bits,
-            encode_hex(&self.tag)
+            encode_hex(&self.mac)
         )
     }
 }
 
-fn signed_bytes(nonce: u64, status: u16, body: &[u8]) -> Vec<u8> {
+fn mac_input(nonce: u64, status: u16, body: &[u8]) -> Vec<u8> {
     let digest = digest::digest(&digest::SHA256, body);
     let mut bytes = Vec::with_capacity(64);
     bytes.extend_from_slice(REPLY_LABEL);
--- a/src/proof/sign_layer.rs
+++ b/src/proof/sign_layer.rs
@@ -15,7 +15,8 @@
 use super::{CALL_HEADER, CallLine, CallProof, ProofError, REPLY_HEADER, ReplyProof, wall_now};
 use crate::secret::SecretStore;
 
-/// Signs every call of a JSON-RPC client and verifies the answers.
+/// Client side: adds a proof to every call of a JSON-RPC client and verifies the
+/// replies.
 #[derive(Debug, Clone)]
 pub(crate) struct SignLayer {
     secret: SecretStore,
@@ -23,12 +24,13 @@
 }
 
 impl SignLayer {
-    /// Signs with `secret` and reads answers of at most `body_limit` bytes.
+    /// Creates a layer with the keys of `secret`; replies are limited to
+    /// `body_limit` bytes.
     pub(crate) fn new(secret: SecretStore, body_limit: usize) -> Self {
         Self { secret, body_limit }
     }
 
-    async fn sign(
+    async fn add_call_proof(
         &self,
         request: HttpRequest<HttpBody>,
     ) -> Result<(u64, HttpRequest<HttpBody>), BoxError> {
@@ -46,7 +48,7 @@
         Ok((proof.nonce(), request))
     }
 
-    async fn verify<B>(
+    async fn verify_reply<B>(
         &self,
         nonce: u64,
         response: HttpResponse<B>,
@@ -112,13 +114,19 @@
         let layer = self.layer.clone();
         let mut inner = self.inner.clone();
         Box::pin(async move {
-            let (nonce, request) = layer.sign(request).await.map_err(wrap)?;
+            let (nonce, request) = layer
+                .add_call_proof(request)
+                .await
+                .map_err(into_transport_error)?;
             let response = inner.call(request).await?;
-            layer.verify(nonce, response).await.map_err(wrap)
+            layer
+                .verify_reply(nonce, response)
+                .await
+                .map_err(into_transport_error)
         })
     }
 }
 
-fn wrap(error: BoxError) -> TransportError {
+fn into_transport_error(error: BoxError) -> TransportError {
     TransportError::Http(HttpError::Stream(error))
 }
--- a/src/proof/tests/layer.rs
+++ b/src/proof/tests/layer.rs
@@ -1,4 +1,4 @@
-//! The layers: what is refused never reaches the server, and is counted.
+//! Tests of both layers: a refused call is counted and never reaches the server.
 
 use std::{
     convert::Infallible,
@@ -38,14 +38,15 @@
 fn store(byte: u8) -> SecretStore {
     let mut secret = secret(1, &[1]);
     secret.epochs[0].secret = vec![byte; 32];
-    SecretStore::new(&secret).expect("a good secret")
+    SecretStore::new(&secret).expect("a valid secret")
 }
 
 fn proof(store: &SecretStore, body: &[u8], time: ClockMillis) -> String {
     CallProof::new(store.keys().active(), LINE, body, time, 42).to_string()
 }
 
-/// Sends a request through the layer; returns the answer and the calls let through.
+/// Sends a request through a `ProofLayer`; returns the response and the number
+/// of calls that reached the server.
 async fn send(header: Option<String>, body: Vec<u8>) -> (HttpResponse<HttpBody>, usize) {
     let reached = Arc::new(AtomicUsize::new(0));
     let counter = Arc::clone(&reached);
@@ -59,14 +60,14 @@
     if let Some(header) = header {
         request = request.header(CALL_HEADER, header);
     }
-    let request = request.body(HttpBody::from(body)).expect("a good request");
+    let request = request.body(HttpBody::from(body)).expect("a valid request");
     let service = ProofLayer::new(store(1), BODY_LIMIT).layer(inner);
-    let response = service.oneshot(request).await.expect("an answer");
+    let response = service.oneshot(request).await.expect("a response");
     (response, reached.load(Ordering::Relaxed))
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Fault {
+enum InvalidCall {
     Missing,
     OtherSecret,
     Stale,
@@ -76,51 +77,51 @@
     Malformed,
 }
 
-fn faulty_call(fault: Fault) -> (Option<String>, Vec<u8>) {
+fn invalid_call(call: InvalidCall) -> (Option<String>, Vec<u8>) {
     let body = b"{}".to_vec();
     let now = wall_now();
-    let header = match fault {
-        Fault::Missing => None,
-        Fault::OtherSecret => Some(proof(&store(2), &body, now)),
-        Fault::Stale => {
+    let header = match call {
+        InvalidCall::Missing => None,
+        InvalidCall::OtherSecret => Some(proof(&store(2), &body, now)),
+        InvalidCall::Stale => {
             let old = now.millis() - SpanMillis::new(60_000).millis();
             Some(proof(&store(1), &body, ClockMillis::new(old)))
         }
-        Fault::OtherEpoch => Some(proof(&store(1), &body, now).replacen("01", "02", 1)),
-        Fault::OtherBody => Some(proof(&store(1), b"[]", now)),
-        Fault::Oversize => {
+        InvalidCall::OtherEpoch => Some(proof(&store(1), &body, now).replacen("01", "02", 1)),
+        InvalidCall::OtherBody => Some(proof(&store(1), b"[]", now)),
+        InvalidCall::Oversize => {
             let body = vec![b' '; BODY_LIMIT + 1];
             return (Some(proof(&store(1), &body, now)), body);
         }
-        Fault::Malformed => Some("no proof".to_owned()),
+        InvalidCall::Malformed => Some("no proof".to_owned()),
     };
     (header, body)
 }
 
 #[rstest]
-#[case(Fault::Missing, 401, "missing")]
-#[case(Fault::OtherSecret, 401, "mismatch")]
-#[case(Fault::Stale, 401, "stale")]
-#[case(Fault::OtherEpoch, 401, "unknown_epoch")]
-#[case(Fault::OtherBody, 401, "body_mismatch")]
-#[case(Fault::Oversize, 413, "oversize")]
-#[case(Fault::Malformed, 401, "malformed")]
+#[case(InvalidCall::Missing, 401, "missing")]
+#[case(InvalidCall::OtherSecret, 401, "mismatch")]
+#[case(InvalidCall::Stale, 401, "stale")]
+#[case(InvalidCall::OtherEpoch, 401, "unknown_epoch")]
+#[case(InvalidCall::OtherBody, 401, "body_mismatch")]
+#[case(InvalidCall::Oversize, 413, "oversize")]
+#[case(InvalidCall::Malformed, 401, "malformed")]
 #[tokio::test]
-async fn a_faulty_call_is_refused_before_the_server_and_counted(
-    #[case] fault: Fault,
+async fn an_invalid_call_is_counted_and_does_not_reach_the_server(
+    #[case] call: InvalidCall,
     #[case] status: u16,
     #[case] reason: &str,
 ) {
     let recorder = PrometheusBuilder::new().build_recorder();
     let _guard = metrics::set_default_local_recorder(&recorder);
-    let (header, body) = faulty_call(fault);
+    let (header, body) = invalid_call(call);
     let (response, reached) = send(header, body).await;
     assert_eq!((response.status().as_u16(), reached), (status, 0));
     let counted = format!("cyclamen_call_proof_refused_total{{reason=\"{reason}\"}} 1");
     assert!(recorder.handle().render().contains(&counted));
 }
 
-/// A body that counts how often it is asked for data.
+/// A body that counts how often it is polled.
 struct CountedBody(Arc<AtomicUsize>);
 
 impl http_body::Body for CountedBody {
@@ -137,31 +138,31 @@
 }
 
 #[tokio::test]
-async fn the_body_of_an_unproven_call_is_never_read() {
+async fn the_body_of_an_unauthenticated_call_is_not_read() {
     let read = Arc::new(AtomicUsize::new(0));
     let body = CountedBody(Arc::clone(&read));
     let request = HttpRequest::post("/")
         .header(CALL_HEADER, proof(&store(2), b"", wall_now()))
         .body(HttpBody::new(body))
-        .expect("a good request");
+        .expect("a valid request");
     let inner = service_fn(|_: HttpRequest<HttpBody>| {
         std::future::ready(Ok::<_, BoxError>(HttpResponse::new(HttpBody::empty())))
     });
     let service = ProofLayer::new(store(1), BODY_LIMIT).layer(inner);
-    let response = service.oneshot(request).await.expect("an answer");
+    let response = service.oneshot(request).await.expect("a response");
     assert_eq!(response.status().as_u16(), 401);
     assert_eq!(read.load(Ordering::Relaxed), 0);
 }
 
 #[tokio::test]
-async fn a_proven_call_is_answered_with_a_proof() {
+async fn the_reply_to_an_authenticated_call_carries_a_proof() {
     let store = store(1);
     let header = proof(&store, b"{}", wall_now());
     let (response, reached) = send(Some(header), b"{}".to_vec()).await;
     assert_eq!(reached, 1);
     let text = response.headers()[REPLY_HEADER]
         .to_str()
-        .expect("plain text");
+        .expect("a text header");
     let reply = ReplyProof::parse(text).expect("a proof");
     assert_eq!(reply.verify(&store.keys(), 42, 200, b"answer"), Ok(()));
 }
@@ -170,22 +171,24 @@
 #[case::same_secret(1, true)]
 #[case::other_secret(2, false)]
 #[tokio::test]
-async fn a_caller_accepts_proven_answers_only(#[case] server: u8, #[case] accepted: bool) {
-    // The server's own check is left out, so that the answer alone decides.
-    let keys = store(server);
+async fn a_client_accepts_only_authenticated_replies(#[case] server: u8, #[case] accepted: bool) {
+    // There is no `ProofLayer` here, so only the check of the reply decides.
+    let server_store = store(server);
     let inner = service_fn(move |request: HttpRequest<HttpBody>| {
-        let header = request.headers()[CALL_HEADER].to_str().expect("plain text");
+        let header = request.headers()[CALL_HEADER]
+            .to_str()
+            .expect("a text header");
         let nonce = CallProof::parse(header).expect("a proof").nonce();
-        let proof = ReplyProof::new(keys.keys().active(), nonce, 200, b"answer");
+        let proof = ReplyProof::new(server_store.keys().active(), nonce, 200, b"answer");
         let response = http::Response::builder()
             .header(REPLY_HEADER, proof.to_string())
             .body(HttpBody::from("answer"))
-            .expect("a good answer");
+            .expect("a valid response");
         std::future::ready(Ok(response))
     });
     let request = HttpRequest::post("/")
         .body(HttpBody::from("{}"))
-        .expect("a good request");
+        .expect("a valid request");
     let service = SignLayer::new(store(1), BODY_LIMIT).layer(inner);
     let answer = service.oneshot(request).await;
     assert_eq!(answer.is_ok(), accepted);
--- a/src/proof/tests/mod.rs
+++ b/src/proof/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of call proofs.
+//! Tests of call and reply authentication.
 
 mod layer;
 mod proof;
--- a/src/proof/tests/proof.rs
+++ b/src/proof/tests/proof.rs
@@ -1,4 +1,4 @@
-//! The proof itself: what it covers and when it is refused.
+//! Tests of the proofs: what their MACs cover and when they are refused.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -27,7 +27,7 @@
 }
 
 fn ring(active: u8, epochs: &[u8]) -> KeyRing {
-    KeyRing::new(&secret(active, epochs)).expect("a good secret")
+    KeyRing::new(&secret(active, epochs)).expect("a valid secret")
 }
 
 fn sign(ring: &KeyRing, body: &[u8]) -> CallProof {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_proof_is_read_back_from_its_header() {
+fn a_formatted_call_proof_parses_back() {
     let proof = sign(&ring(1, &[1]), b"body");
     assert_eq!(CallProof::parse(&proof.to_string()), Ok(proof));
 }
@@ -43,13 +43,13 @@
 #[rstest]
 #[case::same_epoch(1, &[1])]
 #[case::old_epoch_during_a_rotation(2, &[1, 2])]
-fn both_live_epochs_are_accepted(#[case] active: u8, #[case] epochs: &[u8]) {
+fn a_proof_of_any_accepted_epoch_verifies(#[case] active: u8, #[case] epochs: &[u8]) {
     let proof = sign(&ring(1, &[1]), b"body");
     assert_eq!(proof.verify(&ring(active, epochs), LINE, NOW), Ok(()));
 }
 
 #[test]
-fn an_epoch_that_is_over_is_refused() {
+fn a_retired_epoch_is_refused() {
     let proof = sign(&ring(1, &[1]), b"body");
     let refused = proof.verify(&ring(3, &[2, 3]), LINE, NOW);
     assert_eq!(refused, Err(ProofError::UnknownEpoch { epoch_bits: 1 }));
@@ -60,17 +60,20 @@
 #[case::too_early(969_999, false)]
 #[case::late(1_030_000, true)]
 #[case::too_late(1_030_001, false)]
-fn only_times_within_the_window_are_accepted(#[case] now: u64, #[case] accepted: bool) {
+fn only_times_within_the_maximum_clock_offset_are_accepted(
+    #[case] now: u64,
+    #[case] accepted: bool,
+) {
     let ring = ring(1, &[1]);
-    let verdict = sign(&ring, b"body").verify(&ring, LINE, ClockMillis::new(now));
+    let result = sign(&ring, b"body").verify(&ring, LINE, ClockMillis::new(now));
     let stale = ProofError::Stale {
         offset: SpanMillis::new(30_001),
     };
-    assert_eq!(verdict, if accepted { Ok(()) } else { Err(stale) });
+    assert_eq!(result, if accepted { Ok(()) } else { Err(stale) });
 }
 
 #[test]
-fn a_proof_covers_the_request_line() {
+fn a_call_proof_covers_the_path() {
     let ring = ring(1, &[1]);
     let line = CallLine {
         method: "POST",
@@ -81,15 +84,15 @@
 }
 
 #[test]
-fn an_answer_belongs_to_one_call() {
+fn a_reply_proof_covers_the_nonce_and_the_body() {
     let ring = ring(1, &[1]);
     let proof = ReplyProof::new(ring.active(), 42, 200, b"answer");
-    let proof = ReplyProof::parse(&proof.to_string()).expect("the same shape");
+    let proof = ReplyProof::parse(&proof.to_string()).expect("a formatted proof parses");
     assert_eq!(proof.verify(&ring, 42, 200, b"answer"), Ok(()));
-    let crossed = proof.verify(&ring, 43, 200, b"answer");
-    assert_eq!(crossed, Err(ProofError::Mismatch));
-    let cut = proof.verify(&ring, 42, 200, b"answe");
-    assert_eq!(cut, Err(ProofError::Mismatch));
+    let other_nonce = proof.verify(&ring, 43, 200, b"answer");
+    assert_eq!(other_nonce, Err(ProofError::Mismatch));
+    let truncated = proof.verify(&ring, 42, 200, b"answe");
+    assert_eq!(truncated, Err(ProofError::Mismatch));
 }
 
 proptest! {
@@ -100,22 +103,22 @@
     })]
 
     #[test]
-    fn no_changed_header_is_accepted(index in 0_usize..167, digit in 0_u8..16) {
+    fn a_call_proof_with_a_changed_character_is_refused(index in 0_usize..167, digit in 0_u8..16) {
         let ring = ring(1, &[1]);
         let text = sign(&ring, b"body").to_string();
         let mut changed = text.clone().into_bytes();
-        let place = index % changed.len();
-        changed[place] = b"0123456789abcdef"[usize::from(digit)];
-        let changed = String::from_utf8(changed).expect("plain digits");
+        let index = index % changed.len();
+        changed[index] = b"0123456789abcdef"[usize::from(digit)];
+        let changed = String::from_utf8(changed).expect("ASCII digits");
         prop_assume!(changed != text);
-        let verdict = CallProof::parse(&changed).and_then(|proof| proof.verify(&ring, LINE, NOW));
-        prop_assert!(verdict.is_err());
+        let result = CallProof::parse(&changed).and_then(|proof| proof.verify(&ring, LINE, NOW));
+        prop_assert!(result.is_err());
     }
 
     #[test]
-    fn arbitrary_text_is_refused_without_a_panic(text in ".{0,200}") {
+    fn an_arbitrary_header_is_refused_without_a_panic(text in ".{0,200}") {
         let ring = ring(1, &[1]);
-        let verdict = CallProof::parse(&text).and_then(|proof| proof.verify(&ring, LINE, NOW));
-        prop_assert!(verdict.is_err());
+        let result = CallProof::parse(&text).and_then(|proof| proof.verify(&ring, LINE, NOW));
+        prop_assert!(result.is_err());
     }
 }
