--- a/src/tls/certificate_files.rs
+++ b/src/tls/certificate_files.rs
@@ -11,21 +11,22 @@
 
 use super::TlsError;
 
-/// Permission bits of group and others.
-const FOREIGN_MODE: u32 = 0o077;
+/// The permission bits of group and others.
+const NON_OWNER_MODE_BITS: u32 = 0o077;
 
-/// Where a certificate chain and its key lie; part of the agent's settings.
+/// The paths of a certificate chain and its private key; part of the agent's
+/// settings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CertificateFiles {
     /// The PEM file of the chain, the server's own certificate first.
     pub certificate: PathBuf,
-    /// The PEM file of the key; only its owner may read it.
+    /// The PEM file of the private key; only its owner may have permissions on it.
     pub key: PathBuf,
 }
 
 impl CertificateFiles {
-    /// Names the two files.
+    /// Creates the paths; reads nothing.
     #[must_use]
     pub fn new(certificate: impl Into<PathBuf>, key: impl Into<PathBuf>) -> Self {
         Self {
@@ -34,12 +35,12 @@
         }
     }
 
-    /// Reads both files and verifies that they fit together.
+    /// Reads both files and checks that the key belongs to the certificate.
     ///
     /// # Errors
     ///
-    /// Fails when a file is unreadable or malformed, when others may read the
-    /// key, or when the key is not the certificate's.
+    /// Fails when a file is unreadable or malformed, when group or others have
+    /// any permission on the key, or when the key is not the certificate's.
     pub fn load(&self) -> Result<CertifiedKey, TlsError> {
         let chain = read_certificates(&self.certificate)?;
         let key = self.read_key()?;
@@ -51,17 +52,20 @@
         })
     }
 
-    /// Returns when each file was last changed, to notice a replacement.
-    pub(super) fn changed_at(&self) -> [Option<SystemTime>; 2] {
-        [&self.certificate, &self.key]
-            .map(|path| fs::metadata(path).and_then(|data| data.modified()).ok())
+    /// Returns the modification time of each file, to detect a change.
+    pub(super) fn modified_at(&self) -> [Option<SystemTime>; 2] {
+        [&self.certificate, &self.key].map(|path| {
+            fs::metadata(path)
+                .and_then(|metadata| metadata.modified())
+                .ok()
+        })
     }
 
     fn read_key(&self) -> Result<PrivateKeyDer<'static>, TlsError> {
         let metadata = fs::metadata(&self.key).map_err(|cause| unreadable(&self.key, cause))?;
         let mode = metadata.permissions().mode() & 0o777;
-        if mode & FOREIGN_MODE != 0 {
-            return Err(TlsError::Exposed {
+        if mode & NON_OWNER_MODE_BITS != 0 {
+            return Err(TlsError::InsecurePermissions {
                 path: self.key.clone(),
                 mode,
             });
@@ -69,17 +73,17 @@
         let bytes = fs::read(&self.key).map_err(|cause| unreadable(&self.key, cause))?;
         PrivateKeyDer::from_pem_slice(&bytes).map_err(|cause| TlsError::Malformed {
             path: self.key.clone(),
-            wanted: "private key",
+            expected: "private key",
             cause,
         })
     }
 }
 
-/// Reads every certificate of a PEM file, at least one.
+/// Reads all certificates of a PEM file; fails when there is none.
 pub(super) fn read_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, TlsError> {
     let malformed = |cause| TlsError::Malformed {
         path: path.to_owned(),
-        wanted: "certificate",
+        expected: "certificate",
         cause,
     };
     let bytes = fs::read(path).map_err(|cause| unreadable(path, cause))?;
--- a/src/tls/certificate_store.rs
+++ b/src/tls/certificate_store.rs
@@ -10,13 +10,12 @@
 use super::{CertificateFiles, TlsError};
 use crate::{clock::SpanMillis, event::log_event, settings::SettingsEvent};
 
-/// How often the files' times of change are looked at.
+/// How often the files' modification times are checked.
 const POLL_MILLIS: SpanMillis = SpanMillis::new(1_000);
 
-/// The certificate in force; changed files replace it without a restart.
+/// The current certificate, reloaded without a restart when its files change.
 ///
-/// Handshakes after the change present the new certificate, open connections
-/// go on.
+/// New handshakes use the new certificate; open connections are not affected.
 #[derive(Debug, Clone)]
 pub struct CertificateStore {
     files: CertificateFiles,
@@ -24,7 +23,7 @@
 }
 
 impl CertificateStore {
-    /// Reads the files, without watching them.
+    /// Reads the files and does not watch them.
     ///
     /// # Errors
     ///
@@ -34,32 +33,32 @@
         Ok(Self { files, current })
     }
 
-    /// Reads the files and reloads them on change and on SIGHUP.
+    /// Reads the files and reloads them when they change and on SIGHUP.
     ///
-    /// It must be called within the runtime. Changed files that are unusable
-    /// are logged, and the certificate in force stays.
+    /// Must be called within a Tokio runtime. When changed files are unusable,
+    /// the error is logged and the current certificate is kept.
     ///
     /// # Errors
     ///
-    /// Fails when the files are unusable at the start.
+    /// Fails when the files are unusable on the first read.
     pub fn open(files: CertificateFiles) -> Result<Self, TlsError> {
         let store = Self::new(files)?;
-        let watched = store.clone();
-        tokio::spawn(async move { watched.watch_files().await });
+        let watcher = store.clone();
+        tokio::spawn(async move { watcher.watch_files().await });
         Ok(store)
     }
 
-    /// Reads the files again and puts them in force.
+    /// Reads the files again and replaces the current certificate.
     ///
     /// # Errors
     ///
-    /// Fails when the files are unusable; the certificate in force stays.
+    /// Fails when the files are unusable; the current certificate is kept.
     pub fn reload(&self) -> Result<(), TlsError> {
         self.current.store(Arc::new(self.files.load()?));
         Ok(())
     }
 
-    /// Returns the certificate that the next handshake presents.
+    /// Returns the certificate that the next handshake uses.
     #[must_use]
     pub fn current(&self) -> Arc<CertifiedKey> {
         self.current.load_full()
@@ -67,14 +66,14 @@
 
     async fn watch_files(self) {
         let mut hangup = signal(SignalKind::hangup());
-        let mut seen = self.files.changed_at();
+        let mut last_modified = self.files.modified_at();
         loop {
-            let asked = wait_for_hangup(&mut hangup).await;
-            let found = self.files.changed_at();
-            if !asked && found == seen {
+            let is_hangup = wait_for_hangup_or_poll(&mut hangup).await;
+            let modified = self.files.modified_at();
+            if !is_hangup && modified == last_modified {
                 continue;
             }
-            seen = found;
+            last_modified = modified;
             match self.reload() {
                 Ok(()) => log_event!(info, SettingsEvent::CertificateReloaded),
                 Err(error) => log_event!(error, SettingsEvent::CertificateRefused, %error),
@@ -89,15 +88,15 @@
     }
 }
 
-/// Waits for SIGHUP or the next look at the files; returns true for SIGHUP.
-async fn wait_for_hangup(hangup: &mut io::Result<Signal>) -> bool {
-    let pause = tokio::time::sleep(POLL_MILLIS.duration());
+/// Waits for SIGHUP or the next poll; returns whether it was SIGHUP.
+async fn wait_for_hangup_or_poll(hangup: &mut io::Result<Signal>) -> bool {
+    let poll = tokio::time::sleep(POLL_MILLIS.duration());
     let Ok(signal) = hangup else {
-        pause.await;
+        poll.await;
         return false;
     };
     tokio::select! {
         Some(()) = signal.recv() => true,
-        () = pause => false,
+        () = poll => false,
     }
 }
--- a/src/tls/mod.rs
+++ b/src/tls/mod.rs
@@ -1,4 +1,4 @@
-//! Certificates and keys from files, and the TLS settings of HTTP/3.
+//! Certificates and private keys with reload, and the TLS configuration of HTTP/3.
 
 mod certificate_files;
 mod certificate_store;
--- a/src/tls/server_trust.rs
+++ b/src/tls/server_trust.rs
@@ -4,14 +4,14 @@
 
 use super::{TlsError, certificate_files::read_certificates};
 
-/// The roots that a caller trusts servers by.
+/// The root certificates that a client trusts.
 #[derive(Debug, Clone)]
 pub struct ServerTrust {
     roots: RootCertStore,
 }
 
 impl ServerTrust {
-    /// Trusts every certificate of the PEM file at `path`, and no other.
+    /// Trusts the certificates of the PEM file at `path` and no others.
     ///
     /// # Errors
     ///
@@ -21,7 +21,7 @@
         for certificate in read_certificates(path)? {
             roots
                 .add(certificate)
-                .map_err(|cause| TlsError::Untrusted {
+                .map_err(|cause| TlsError::InvalidRoot {
                     path: path.to_owned(),
                     cause,
                 })?;
--- a/src/tls/test_certificate.rs
+++ b/src/tls/test_certificate.rs
@@ -8,27 +8,28 @@
 use super::{CertificateFiles, TlsError};
 use crate::settings::write_private;
 
-/// A certificate for trials, signed by a root that is made along with it.
+/// A server certificate for tests, signed by a root generated along with it.
 ///
-/// The root's key is thrown away, so nothing else can be signed by it.
+/// The root's private key is discarded, so it can't sign anything else.
 #[derive(Debug)]
 pub struct TestCertificate {
-    /// PEM of the server's certificate.
+    /// The server's certificate, as PEM.
     certificate: String,
-    /// PEM of the server's key.
+    /// The server's private key, as PEM.
     key: String,
-    /// PEM of the root that signed it.
+    /// The root certificate, as PEM.
     root: String,
 }
 
 impl TestCertificate {
-    /// Makes a certificate that is valid for `names` (DNS names or IP numbers).
+    /// Generates a certificate that is valid for `names` (DNS names or IP
+    /// addresses).
     ///
     /// # Errors
     ///
-    /// Fails when a name can't stand in a certificate.
+    /// Fails when a name is not allowed in a certificate.
     pub fn new(names: &[&str]) -> Result<Self, TlsError> {
-        let root = make_root().map_err(TlsError::Generation)?;
+        let root = generate_root().map_err(TlsError::Generation)?;
         let names: Vec<String> = names.iter().map(ToString::to_string).collect();
         let mut params = CertificateParams::new(names).map_err(TlsError::Generation)?;
         params
@@ -65,7 +66,7 @@
     }
 }
 
-fn make_root() -> Result<CertifiedIssuer<'static, KeyPair>, rcgen::Error> {
+fn generate_root() -> Result<CertifiedIssuer<'static, KeyPair>, rcgen::Error> {
     let mut params = CertificateParams::new(Vec::new())?;
     params
         .distinguished_name
--- a/src/tls/tests/loading.rs
+++ b/src/tls/tests/loading.rs
@@ -1,4 +1,5 @@
-//! Files are verified before they are used, and reloaded whole.
+//! Tests that certificate files are validated on load and that certificate and
+//! key are reloaded together.
 
 use std::{fs, os::unix::fs::PermissionsExt};
 
@@ -6,22 +7,22 @@
 use crate::tls::{CertificateStore, TestCertificate, TlsError};
 
 #[test]
-fn a_key_that_others_can_read_is_refused() {
+fn a_group_readable_key_is_rejected() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let files = write_files(&folder);
-    fs::set_permissions(&files.key, fs::Permissions::from_mode(0o640)).expect("own file");
+    fs::set_permissions(&files.key, fs::Permissions::from_mode(0o640)).expect("a writable file");
     assert!(matches!(
         files.load(),
-        Err(TlsError::Exposed { mode: 0o640, .. })
+        Err(TlsError::InsecurePermissions { mode: 0o640, .. })
     ));
 }
 
 #[test]
-fn a_written_key_is_private() {
+fn a_generated_key_file_is_private() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let files = write_files(&folder);
     let mode = fs::metadata(&files.key)
-        .expect("a file")
+        .expect("the key file exists")
         .permissions()
         .mode();
     assert_eq!(mode & 0o777, 0o600);
@@ -29,48 +30,48 @@
 }
 
 #[test]
-fn a_file_without_a_certificate_is_refused() {
+fn a_file_without_a_certificate_is_rejected() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let files = write_files(&folder);
-    fs::write(&files.certificate, "no PEM at all").expect("own file");
+    fs::write(&files.certificate, "no PEM at all").expect("a writable file");
     assert!(matches!(files.load(), Err(TlsError::Malformed { .. })));
 }
 
 #[test]
-fn a_missing_file_is_named() {
+fn the_error_names_the_missing_file() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let mut files = write_files(&folder);
     files.key = folder.path().join("absent.key");
-    let error = files.load().expect_err("no such file");
+    let error = files.load().expect_err("the key file is missing");
     assert!(matches!(&error, TlsError::Unreadable { path, .. } if *path == files.key));
 }
 
 #[test]
-fn a_key_of_another_certificate_leaves_the_old_pair_in_force() {
+fn reloading_a_mismatched_key_keeps_the_old_certificate() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let files = write_files(&folder);
-    let store = CertificateStore::new(files.clone()).expect("a good pair");
+    let store = CertificateStore::new(files.clone()).expect("a valid certificate and key");
     let old = store.current();
-    let other = tempfile::tempdir().expect("a temporary folder");
-    let others = write_files(&other);
-    fs::copy(&others.key, &files.key).expect("own file");
+    let other_folder = tempfile::tempdir().expect("a temporary folder");
+    let other_files = write_files(&other_folder);
+    fs::copy(&other_files.key, &files.key).expect("a writable file");
     assert!(matches!(store.reload(), Err(TlsError::Mismatch { .. })));
     assert_eq!(store.current().cert, old.cert);
 }
 
 #[test]
-fn a_replaced_pair_comes_in_force() {
+fn reloading_replaced_files_changes_the_certificate() {
     let folder = tempfile::tempdir().expect("a temporary folder");
     let files = write_files(&folder);
-    let store = CertificateStore::new(files).expect("a good pair");
+    let store = CertificateStore::new(files).expect("a valid certificate and key");
     let old = store.current();
     write_files(&folder);
-    store.reload().expect("a good pair");
+    store.reload().expect("a valid certificate and key");
     assert_ne!(store.current().cert, old.cert);
 }
 
 #[test]
-fn a_name_that_no_certificate_can_hold_is_refused() {
-    let error = TestCertificate::new(&["søndre"]).expect_err("no ASCII name");
+fn a_non_ascii_name_is_rejected() {
+    let error = TestCertificate::new(&["søndre"]).expect_err("the name is not ASCII");
     assert!(matches!(error, TlsError::Generation(_)));
 }
--- a/src/tls/tests/mod.rs
+++ b/src/tls/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of certificates from files.
+//! Tests of certificates and TLS configuration.
 
 mod handshake;
 mod loading;
--- a/src/tls/tls_config.rs
+++ b/src/tls/tls_config.rs
@@ -4,16 +4,17 @@
 
 use super::{CertificateStore, ServerTrust, TlsError};
 
-/// The protocol that both sides agree on within the handshake.
+/// The ALPN protocol ID of HTTP/3.
 const HTTP3_PROTOCOL: &[u8] = b"h3";
 
-/// Returns the TLS settings of an HTTP/3 server that presents `store`.
+/// Returns the TLS configuration of an HTTP/3 server with the certificate of
+/// `store`.
 ///
-/// Early data stays off, since it can be replayed.
+/// 0-RTT (early data) is disabled, since it can be replayed.
 ///
 /// # Errors
 ///
-/// Fails when the TLS library refuses the settings.
+/// Fails when rustls rejects the protocol versions.
 pub fn server_config(store: CertificateStore) -> Result<ServerConfig, TlsError> {
     let mut config = ServerConfig::builder_with_provider(Arc::new(ring::default_provider()))
         .with_protocol_versions(&[&TLS13])
@@ -25,11 +26,11 @@
     Ok(config)
 }
 
-/// Returns the TLS settings of an HTTP/3 caller that trusts `trust`.
+/// Returns the TLS configuration of an HTTP/3 client with the roots of `trust`.
 ///
 /// # Errors
 ///
-/// Fails when the TLS library refuses the settings.
+/// Fails when rustls rejects the protocol versions.
 pub fn client_config(trust: ServerTrust) -> Result<ClientConfig, TlsError> {
     let mut config = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()))
         .with_protocol_versions(&[&TLS13])
--- a/src/tls/tls_error.rs
+++ b/src/tls/tls_error.rs
@@ -3,69 +3,69 @@
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// Why a certificate or key was refused.
+/// Why a certificate, a key or a TLS configuration is unusable.
 #[derive(Debug, Error, Diagnostic)]
 pub enum TlsError {
     /// A file could not be read.
     #[error("cannot read {path}: {cause}")]
     Unreadable {
-        /// The file that was asked for.
+        /// The file.
         path: PathBuf,
-        /// What the system answered.
+        /// The I/O error.
         #[source]
         cause: io::Error,
     },
-    /// Others than the owner may read the key.
+    /// Group or others have permissions on the key file.
     #[error("the key file {path} has mode {mode:03o}; allowed: 600 or 400")]
-    Exposed {
+    InsecurePermissions {
         /// The key file.
         path: PathBuf,
         /// Its permission bits.
         mode: u32,
     },
-    /// A file is no PEM, or holds nothing of the wanted kind.
-    #[error("{path} holds no usable PEM {wanted}: {cause}")]
+    /// A file is not PEM, or has no item of the expected kind.
+    #[error("{path} has no usable PEM {expected}: {cause}")]
     Malformed {
-        /// The file that was read.
+        /// The file.
         path: PathBuf,
-        /// What the file should hold.
-        wanted: &'static str,
-        /// What the decoder met.
+        /// The kind of PEM item that was expected.
+        expected: &'static str,
+        /// The error of the PEM decoder.
         #[source]
         cause: rustls_pki_types::pem::Error,
     },
     /// The certificate and the key can't be used together.
-    #[error("the certificate {certificate} and the key {key} don't fit: {cause}")]
+    #[error("the certificate {certificate} and the key {key} can't be used together: {cause}")]
     Mismatch {
         /// The certificate file.
         certificate: PathBuf,
         /// The key file.
         key: PathBuf,
-        /// What the TLS library met.
+        /// The error of the TLS library.
         #[source]
         cause: rustls::Error,
     },
-    /// A certificate can't serve as a root of trust.
-    #[error("{path} holds a certificate that can't be trusted: {cause}")]
-    Untrusted {
-        /// The file that was read.
+    /// A certificate can't be used as a root.
+    #[error("{path} has a certificate that can't be used as a root: {cause}")]
+    InvalidRoot {
+        /// The file.
         path: PathBuf,
-        /// What the TLS library met.
+        /// The error of the TLS library.
         #[source]
         cause: rustls::Error,
     },
-    /// The TLS library refused the protocol settings.
-    #[error("the TLS library refused the protocol settings: {0}")]
+    /// The TLS library rejected the protocol versions.
+    #[error("the TLS library rejected the protocol versions: {0}")]
     Protocol(#[source] rustls::Error),
-    /// No test certificate could be made.
-    #[error("cannot make a test certificate: {0}")]
+    /// A test certificate could not be generated.
+    #[error("cannot generate a test certificate: {0}")]
     Generation(#[source] rcgen::Error),
     /// A file could not be written.
     #[error("cannot write {path}: {cause}")]
     Unwritable {
-        /// The file that was to be written.
+        /// The file.
         path: PathBuf,
-        /// What the system answered.
+        /// The I/O error.
         #[source]
         cause: io::Error,
     },
