--- a/src/program/exit_status.rs
+++ b/src/program/exit_status.rs
@@ -1,13 +1,13 @@
 use std::process::ExitCode;
 
-/// What a program's exit code tells a pipeline.
+/// The exit status of a program: codes 0, 1 and 2.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// The work is done.
+    /// Success.
     Done,
-    /// The work failed.
+    /// The program failed.
     Failed,
-    /// The command line can't be understood.
+    /// The command line is invalid.
     Usage,
 }
 
--- a/src/program/log_setup.rs
+++ b/src/program/log_setup.rs
@@ -4,50 +4,50 @@
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-/// The variable that sets which log lines are written.
+/// The environment variable with the log filter.
 const FILTER_VARIABLE: &str = "CYCLAMEN_LOG";
-/// What is written when the variable is not set.
+/// The filter when the variable is not set or can't be parsed.
 const DEFAULT_FILTER: &str = "info,quinn=warn,h3=warn,hyper=warn,jsonrpsee=warn";
-/// What an operator's command writes when the variable is not set.
+/// The default filter of operator commands.
 const QUIET_FILTER: &str = "error,h3=off,quinn=off,jsonrpsee=off";
 
-/// The lines that wait for a slow reader of standard output; about 256 KB.
-const MAX_WAITING_LINES: usize = 1_024;
+/// The most lines buffered for a slow reader of standard output; about 256 KB.
+const MAX_BUFFERED_LINES: usize = 1_024;
 
-/// How log lines are written to standard error.
+/// The format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// One line of text an event.
+    /// One line of text per event.
     #[default]
     Text,
-    /// One JSON object an event.
+    /// One JSON object per event.
     Json,
 }
 
-/// Starts the logs of this process; a second call changes nothing.
+/// Starts logging to standard error; a second call has no effect.
 pub fn start_logs(format: LogFormat) {
-    start_filtered(format, DEFAULT_FILTER);
+    start_stderr_logs(format, DEFAULT_FILTER);
 }
 
-/// Keeps the logs on standard output going; what waits is written when it is
-/// dropped.
+/// Keeps the writer thread of the logs running; buffered lines are flushed when
+/// it is dropped.
 #[derive(Debug)]
-pub struct OutputLogs {
+pub struct LogGuard {
     _worker: WorkerGuard,
 }
 
-/// Starts logs on standard output; a second call changes nothing.
+/// Starts logging to standard output; a second call has no effect.
 ///
-/// Lines are written by a thread of their own. When the reader of the output is
-/// too slow, lines are left out; the process never waits for it.
+/// A separate thread writes the lines. When the reader of the output is too
+/// slow, lines are dropped; the process never blocks on it.
 #[must_use]
-pub fn start_output_logs(format: LogFormat) -> OutputLogs {
+pub fn start_output_logs(format: LogFormat) -> LogGuard {
     let filter =
         EnvFilter::try_from_env(FILTER_VARIABLE).unwrap_or_else(|_| EnvFilter::new(DEFAULT_FILTER));
     let (writer, worker) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(MAX_WAITING_LINES)
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
         .thread_name("log-writer")
         .finish(io::stdout());
     let builder = tracing_subscriber::fmt()
@@ -55,27 +55,28 @@
         .with_ansi(false)
         .with_target(false)
         .with_writer(writer);
-    // A process that has logs already keeps them.
+    // Fails when a subscriber is already set; that one is kept.
     let _ = match format {
         LogFormat::Text => builder.try_init(),
         LogFormat::Json => builder.json().flatten_event(true).try_init(),
     };
-    OutputLogs { _worker: worker }
+    LogGuard { _worker: worker }
 }
 
-/// Starts the logs of an operator's command, which reports by its output.
+/// Starts logging for operator commands: by default errors only, since a command
+/// reports through its output.
 pub(crate) fn start_quiet_logs() {
-    start_filtered(LogFormat::Text, QUIET_FILTER);
+    start_stderr_logs(LogFormat::Text, QUIET_FILTER);
 }
 
-fn start_filtered(format: LogFormat, default_filter: &str) {
+fn start_stderr_logs(format: LogFormat, default_filter: &str) {
     let filter =
         EnvFilter::try_from_env(FILTER_VARIABLE).unwrap_or_else(|_| EnvFilter::new(default_filter));
     let builder = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_ansi(io::stderr().is_terminal())
         .with_writer(io::stderr);
-    // A process that has logs already keeps them.
+    // Fails when a subscriber is already set; that one is kept.
     let _ = match format {
         LogFormat::Text => builder.try_init(),
         LogFormat::Json => builder.json().try_init(),
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -1,4 +1,5 @@
-//! What every long-running program shares: options, logs, exit codes.
+//! Start and stop of every program: command line, logging, stop signals and exit
+//! status.
 
 mod exit_status;
 mod log_setup;
@@ -7,7 +8,7 @@
 mod stop_signal;
 
 pub use exit_status::ExitStatus;
-pub use log_setup::{LogFormat, OutputLogs, start_logs, start_output_logs};
+pub use log_setup::{LogFormat, LogGuard, start_logs, start_output_logs};
 pub use program_options::{ProgramError, ProgramOptions, run_program};
 pub use stop_signal::{StopSignal, StopTrigger};
 
--- a/src/program/program_options.rs
+++ b/src/program/program_options.rs
@@ -19,7 +19,7 @@
     /// The settings file.
     #[options(meta = "FILE", help = "read the settings from FILE")]
     pub settings: Option<PathBuf>,
-    /// Checks the settings and stops.
+    /// Validates the settings and exits.
     #[options(no_short, help = "check the settings and stop")]
     pub check_settings: bool,
 }
@@ -27,7 +27,7 @@
 /// Why a program could not start.
 #[derive(Debug, Error, Diagnostic)]
 pub enum ProgramError {
-    /// The settings were refused.
+    /// The settings were rejected.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Settings(#[from] SettingsError),
@@ -35,7 +35,7 @@
 
 /// Runs a long-running program from its command line to its exit code.
 ///
-/// `run` gets the verified settings and returns when the program is to stop.
+/// `run` gets the validated settings and returns when the program stops.
 pub fn run_program<T, F, E>(name: &str, run: impl FnOnce(T) -> F) -> ExitCode
 where
     T: SettingsCheck,
@@ -62,12 +62,12 @@
         return ExitStatus::Done.into();
     }
     let Some(path) = options.settings else {
-        eprintln!("{name}: --settings FILE is needed; see {name} --help");
+        eprintln!("{name}: --settings FILE is required; see {name} --help");
         return ExitStatus::Usage.into();
     };
     let settings: T = match load_settings(&path) {
         Ok(settings) => settings,
-        Err(error) => return report(error),
+        Err(error) => return print_error(error),
     };
     if options.check_settings {
         println!("{}: settings are good", path.display());
@@ -85,11 +85,11 @@
     };
     match runtime.block_on(run(settings)) {
         Ok(()) => ExitStatus::Done.into(),
-        Err(error) => report(error),
+        Err(error) => print_error(error),
     }
 }
 
-fn report(error: impl Diagnostic + Send + Sync + 'static) -> ExitCode {
+fn print_error(error: impl Diagnostic + Send + Sync + 'static) -> ExitCode {
     eprintln!("{:?}", miette::Report::new(error));
     ExitStatus::Failed.into()
 }
--- a/src/program/stop_signal.rs
+++ b/src/program/stop_signal.rs
@@ -8,32 +8,33 @@
 use super::ProgramEvent;
 use crate::event::log_event;
 
-/// The exit code of a process that left before its work was in order.
-const FORCED_EXIT: i32 = 1;
+/// The exit code of a process that a second signal stops without a graceful
+/// shutdown.
+const FORCED_EXIT_CODE: i32 = 1;
 
-/// Tells the parts of a process that it is to stop in order.
+/// Signals a graceful shutdown to the tasks of a process.
 ///
-/// Clones see the same stop.
+/// All clones share the same state.
 #[derive(Debug, Clone)]
 pub struct StopSignal {
     stopped: watch::Receiver<bool>,
 }
 
-/// Asks for the stop that a [`StopSignal`] tells of.
+/// Triggers its [`StopSignal`].
 #[derive(Debug, Clone)]
 pub struct StopTrigger {
     stopped: watch::Sender<bool>,
 }
 
 impl StopTrigger {
-    /// Asks for an orderly stop; asking again changes nothing.
+    /// Requests a graceful shutdown; further calls have no effect.
     pub fn stop(&self) {
         self.stopped.send_replace(true);
     }
 }
 
 impl StopSignal {
-    /// Creates a stop that only the trigger asks for.
+    /// Creates a signal and the trigger that sets it.
     #[must_use]
     pub fn new() -> (Self, StopTrigger) {
         let (sender, receiver) = watch::channel(false);
@@ -41,29 +42,30 @@
         (signal, StopTrigger { stopped: sender })
     }
 
-    /// Creates a stop that SIGTERM or SIGINT asks for.
+    /// Creates a signal that SIGTERM or SIGINT triggers.
     ///
-    /// The second of them ends the process at once. It must be called within
-    /// the runtime.
+    /// A second SIGTERM or SIGINT exits the process immediately. Must be called
+    /// within a Tokio runtime.
     ///
     /// # Errors
     ///
-    /// Fails when the signals can't be caught.
+    /// Fails when the signal handlers can't be installed.
     pub fn listen() -> io::Result<Self> {
         let terminate = signal(SignalKind::terminate())?;
         let interrupt = signal(SignalKind::interrupt())?;
         let (stop, trigger) = Self::new();
-        tokio::spawn(follow_signals(terminate, interrupt, trigger));
+        tokio::spawn(handle_signals(terminate, interrupt, trigger));
         Ok(stop)
     }
 
-    /// Returns whether the stop was asked for.
+    /// Returns whether a stop was requested.
     #[must_use]
     pub fn is_stopped(&self) -> bool {
         *self.stopped.borrow()
     }
 
-    /// Returns once the stop is asked for; never when the trigger is gone.
+    /// Waits until a stop is requested; waits forever when the trigger was dropped
+    /// without one.
     pub async fn stopped(&self) {
         let mut stopped = self.stopped.clone();
         if stopped.wait_for(|stopped| *stopped).await.is_err() {
@@ -72,16 +74,16 @@
     }
 }
 
-async fn follow_signals(mut terminate: Signal, mut interrupt: Signal, trigger: StopTrigger) {
-    next_signal(&mut terminate, &mut interrupt).await;
+async fn handle_signals(mut terminate: Signal, mut interrupt: Signal, trigger: StopTrigger) {
+    wait_for_signal(&mut terminate, &mut interrupt).await;
     log_event!(info, ProgramEvent::StopRequested);
     trigger.stop();
-    next_signal(&mut terminate, &mut interrupt).await;
+    wait_for_signal(&mut terminate, &mut interrupt).await;
     log_event!(warn, ProgramEvent::StopForced);
-    process::exit(FORCED_EXIT);
+    process::exit(FORCED_EXIT_CODE);
 }
 
-async fn next_signal(terminate: &mut Signal, interrupt: &mut Signal) {
+async fn wait_for_signal(terminate: &mut Signal, interrupt: &mut Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
--- a/src/program/tests.rs
+++ b/src/program/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the stop that a process is asked for.
+//! Tests of the stop signal.
 
 use super::StopSignal;
 
 #[tokio::test]
-async fn every_clone_sees_the_stop() {
+async fn every_clone_receives_the_stop() {
     let (stop, trigger) = StopSignal::new();
     let clone = stop.clone();
     assert!(!clone.is_stopped());
@@ -14,7 +14,7 @@
 }
 
 #[tokio::test]
-async fn a_stop_that_was_asked_for_outlives_its_trigger() {
+async fn a_requested_stop_outlives_its_trigger() {
     let (stop, trigger) = StopSignal::new();
     trigger.stop();
     drop(trigger);
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Reading and checking the JSON settings of every program.
+//! Reading and validating the JSON settings files of all programs.
 
 mod private_file;
 mod settings_error;
--- a/src/settings/private_file.rs
+++ b/src/settings/private_file.rs
@@ -5,45 +5,45 @@
     path::{Path, PathBuf},
 };
 
-/// The permission bits of a file that only its owner may use.
+/// The permission bits of a file that only its owner can read and write.
 const PRIVATE_MODE: u32 = 0o600;
 
-/// Replaces the file at `path` by one that only its owner can read.
+/// Atomically replaces the file at `path` by one that only its owner can read.
 ///
-/// The new content is synced under another name first, so that a reader sees
-/// the old file or the new one, never a part.
+/// The content is written and synced to a temporary file, which is then renamed:
+/// a reader sees the old file or the new one, never a partial one.
 ///
 /// # Errors
 ///
-/// Fails when the folder can't be written.
+/// Fails when the temporary file can't be written, renamed or synced.
 pub fn write_private(path: &Path, text: &str) -> io::Result<()> {
-    let draft = draft_path(path);
-    let written = write_draft(&draft, text).and_then(|()| fs::rename(&draft, path));
-    if written.is_err() {
-        // The first error is the one to report.
-        let _ = fs::remove_file(&draft);
-        return written;
+    let temp_path = temp_path_for(path);
+    let result = write_temp_file(&temp_path, text).and_then(|()| fs::rename(&temp_path, path));
+    if result.is_err() {
+        // An error of the cleanup is ignored; the first error is returned.
+        let _ = fs::remove_file(&temp_path);
+        return result;
     }
-    sync_folder(path)
+    sync_parent_folder(path)
 }
 
-fn write_draft(draft: &Path, text: &str) -> io::Result<()> {
+fn write_temp_file(temp_path: &Path, text: &str) -> io::Result<()> {
     let mut file = OpenOptions::new()
         .write(true)
         .create_new(true)
         .mode(PRIVATE_MODE)
-        .open(draft)?;
+        .open(temp_path)?;
     file.write_all(text.as_bytes())?;
     file.sync_all()
 }
 
-fn draft_path(path: &Path) -> PathBuf {
+fn temp_path_for(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push(format!(".{:08x}.new", rand::random::<u32>()));
     PathBuf::from(name)
 }
 
-fn sync_folder(path: &Path) -> io::Result<()> {
+fn sync_parent_folder(path: &Path) -> io::Result<()> {
     let folder = path
         .parent()
         .filter(|folder| !folder.as_os_str().is_empty());
--- a/src/settings/settings_error.rs
+++ b/src/settings/settings_error.rs
@@ -3,42 +3,42 @@
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// Why settings were refused.
+/// Why settings were rejected.
 #[derive(Debug, Error, Diagnostic)]
 pub enum SettingsError {
     /// The file could not be read.
     #[error("cannot read {path}: {cause}")]
     Unreadable {
-        /// The file that was asked for.
+        /// The settings file.
         path: PathBuf,
-        /// What the system answered.
+        /// The I/O error.
         #[source]
         cause: io::Error,
     },
-    /// The text is no JSON of the expected shape.
+    /// The content is not JSON of the expected structure.
     #[error("{path}: at `{field}`, line {line}, column {column}: {message}")]
     Malformed {
-        /// The file that was read.
+        /// The settings file.
         path: PathBuf,
         /// The path of the field within the document.
         field: String,
-        /// The line, from 1.
+        /// The line, counted from 1.
         line: usize,
-        /// The column, from 1.
+        /// The column, counted from 1.
         column: usize,
-        /// What the decoder expected.
+        /// The message of the JSON decoder.
         message: String,
     },
     /// A field holds a value that is not allowed.
     #[error("{path}: `{field}` is {value}; allowed: {allowed}")]
     OutOfRange {
-        /// The file that was read.
+        /// The settings file.
         path: PathBuf,
         /// The path of the field within the document.
         field: &'static str,
         /// The value found.
         value: String,
-        /// What would have been accepted.
+        /// A description of the allowed values.
         allowed: &'static str,
     },
 }
--- a/src/settings/settings_file.rs
+++ b/src/settings/settings_file.rs
@@ -4,21 +4,22 @@
 
 use super::SettingsError;
 
-/// Settings that can be verified before anything starts.
+/// Settings that can be validated before the program starts.
 pub trait SettingsCheck: DeserializeOwned {
-    /// Verifies the values; `path` names the file in errors.
+    /// Validates the values; `path` is only used in errors.
     ///
     /// # Errors
     ///
-    /// Fails with the first field that holds a value out of its range.
+    /// Fails with the first field whose value is not allowed.
     fn check(&self, path: &Path) -> Result<(), SettingsError>;
 }
 
-/// Reads, decodes and verifies the settings in the file at `path`.
+/// Reads, decodes and validates the settings file at `path`.
 ///
 /// # Errors
 ///
-/// Fails when the file can't be read, is malformed or out of range.
+/// Fails when the file can't be read, is malformed or has a value that is not
+/// allowed.
 pub fn load_settings<T: SettingsCheck>(path: &Path) -> Result<T, SettingsError> {
     let text = fs::read_to_string(path).map_err(|cause| SettingsError::Unreadable {
         path: path.to_owned(),
@@ -29,11 +30,12 @@
     Ok(settings)
 }
 
-/// Decodes JSON and names the place of a fault; `path` is only for errors.
+/// Decodes JSON; errors name the field, line and column. `path` is only used in
+/// errors.
 ///
 /// # Errors
 ///
-/// Fails when the text is no JSON of the expected shape.
+/// Fails when the text is not JSON of the expected structure.
 pub fn parse_settings<T: DeserializeOwned>(text: &str, path: &Path) -> Result<T, SettingsError> {
     let mut decoder = serde_json::Deserializer::from_str(text);
     let value = serde_path_to_error::deserialize(&mut decoder)
