--- a/src/event/catalogue.rs
+++ b/src/event/catalogue.rs
@@ -4,7 +4,7 @@
     fleet::FleetEvent, program::ProgramEvent, settings::SettingsEvent, watch::WatchEvent,
 };
 
-/// Returns every numbered event of every slice, ordered by number.
+/// Returns the numbered events of all modules, ordered by number.
 #[must_use]
 pub fn event_catalogue() -> Vec<EventEntry> {
     let mut entries: Vec<EventEntry> = [
--- a/src/event/mod.rs
+++ b/src/event/mod.rs
@@ -1,7 +1,8 @@
 //! Numbered log events.
 //!
-//! Each slice declares its own events with [`event_codes!`]; `docs/EVENTS.md`
-//! lists them all, and a test keeps the page and the code together.
+//! Each module declares its own events with [`event_codes!`]; `docs/EVENTS.md`
+//! lists them all, and the test `event_catalogue` compares that page with the
+//! code.
 
 mod catalogue;
 mod event_entry;
@@ -9,22 +10,22 @@
 pub use catalogue::event_catalogue;
 pub use event_entry::EventEntry;
 
-/// Declares an enum of numbered events with a fixed message each.
+/// Declares an enum of numbered events, each with a fixed message.
 macro_rules! event_codes {
     (
-        $(#[$outer:meta])*
+        $(#[$attribute:meta])*
         $visibility:vis enum $name:ident {
             $($variant:ident = $number:literal => $message:literal),+ $(,)?
         }
     ) => {
-        $(#[$outer])*
+        $(#[$attribute])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         $visibility enum $name {
             $(#[doc = $message] $variant = $number),+
         }
 
         impl $name {
-            /// Every event of this slice, in the order of the catalogue.
+            /// All events of this enum, in the order of declaration.
             pub(crate) const ALL: &'static [$crate::event::EventEntry] = &[
                 $($crate::event::EventEntry::new($number, stringify!($variant), $message)),+
             ];
