--- a/src/program/program_options.rs
+++ b/src/program/program_options.rs
@@ -35,7 +35,7 @@
 
 /// Runs a long-running program from its command line to its exit code.
 ///
-/// `run` gets the validated settings and returns when the program stops.
+/// `run` gets the validated settings and returns when the program should stop.
 pub fn run_program<T, F, E>(name: &str, run: impl FnOnce(T) -> F) -> ExitCode
 where
     T: SettingsCheck,
--- a/src/secret/deployment_secret.rs
+++ b/src/secret/deployment_secret.rs
@@ -81,7 +81,7 @@
             line: error.line(),
             column: error.column(),
         })?;
-        secret.verify()?;
+        secret.validate()?;
         Ok(secret)
     }
 
@@ -90,7 +90,7 @@
     /// # Errors
     ///
     /// Fails with the first violation found.
-    pub fn verify(&self) -> Result<(), SecretError> {
+    pub fn validate(&self) -> Result<(), SecretError> {
         let count = self.epochs.len();
         if count == 0 || count > MAX_EPOCHS {
             return Err(SecretError::EpochCount { count });
--- a/src/secret/key_ring.rs
+++ b/src/secret/key_ring.rs
@@ -23,7 +23,7 @@
     pub route_cipher: Aes128,
     /// Authenticates the headers of tunnel frames.
     pub tunnel_mac: Cmac<Aes128>,
-    /// Authenticates calls and replies between processes.
+    /// Authenticates calls and replies between processes, and replica link frames.
     pub call_key: hmac::Key,
     /// Derives stateless reset tokens.
     pub reset_key: hmac::Key,
@@ -65,7 +65,7 @@
     ///
     /// Fails when the secret is invalid.
     pub fn new(secret: &DeploymentSecret) -> Result<Self, SecretError> {
-        secret.verify()?;
+        secret.validate()?;
         let active = secret
             .epochs
             .iter()
--- a/src/secret/secret_rotation.rs
+++ b/src/secret/secret_rotation.rs
@@ -13,7 +13,7 @@
         }
         let next = Self::random(self.active.wrapping_add(1));
         self.epochs.extend(next.epochs);
-        self.verify()?;
+        self.validate()?;
         Ok(self)
     }
 
--- a/src/secret/tests.rs
+++ b/src/secret/tests.rs
@@ -37,7 +37,7 @@
         secret: vec![0; 32],
     });
     assert!(matches!(
-        secret.verify(),
+        secret.validate(),
         Err(SecretError::AmbiguousEpochs { .. })
     ));
 }
