--- a/src/lab/cost/stop_watch.rs
+++ b/src/lab/cost/batch_timer.rs
@@ -1,10 +1,10 @@
 use std::time::Instant;
 
-/// Batches of which the quickest counts, so that other load shows less.
+/// The fastest of several batches counts, which reduces the effect of other load.
 const BATCHES: usize = 5;
 
-/// Returns the nanoseconds of one call in the quickest of several batches.
-pub(super) fn nanos_each(rounds: usize, mut call: impl FnMut(usize)) -> f64 {
+/// Returns the mean nanoseconds per call in the fastest of several batches.
+pub(super) fn nanos_per_call(rounds: usize, mut call: impl FnMut(usize)) -> f64 {
     let mut best = f64::INFINITY;
     for _ in 0..BATCHES {
         let start = Instant::now();
--- a/src/lab/cost/control_cost.rs
+++ b/src/lab/cost/control_cost.rs
@@ -1,10 +1,10 @@
 use std::hint::black_box;
 
 use super::{
-    CostEffort, CostLine,
+    CostEffort, CostResult,
+    batch_timer::nanos_per_call,
     process_usage::resident_bytes,
     sample_routes::{service_route, target_route},
-    stop_watch::nanos_each,
 };
 use crate::{
     clock::ClockMillis,
@@ -21,20 +21,20 @@
 };
 
 const ROLE: &str = "control";
-/// The services and targets that the design is for.
+/// The numbers of services and targets that the design is meant for.
 const SERVICES: usize = 12_000;
 const TARGETS: usize = 100_000;
-/// Changes that passed a watcher by.
-const MISSED: u64 = 500;
+/// The changes that a watcher missed before its catch-up.
+const MISSED_CHANGES: u64 = 500;
 
-/// Measures what a replica stores and what each change costs it.
-pub(super) fn measure_control(effort: CostEffort) -> Result<Vec<CostLine>, LabError> {
+/// Measures a replica's state, feed and leases.
+pub(super) fn measure_control(effort: CostEffort) -> Result<Vec<CostResult>, LabError> {
     let services = effort.size(SERVICES);
     let targets = effort.size(TARGETS);
     let before = resident_bytes()?;
-    let mut lines = Vec::new();
+    let mut results = Vec::new();
     let mut state = ReplicaState::new();
-    apply_manifest(&mut state, services, &mut lines)?;
+    apply_manifest(&mut state, services, &mut results)?;
     let mut nanos = Vec::new();
     for index in 0..targets {
         let command = announce(&target_route(index, index % services, 0)).encode()?;
@@ -43,38 +43,38 @@
         nanos.push(start.elapsed().as_nanos() as f64);
     }
     nanos.sort_by(f64::total_cmp);
-    let line = |measure: String, figure, unit| CostLine::new(ROLE, measure, figure, unit);
-    lines.push(line(
+    let result = |measure: String, figure, unit| CostResult::new(ROLE, measure, figure, unit);
+    results.push(result(
         format!("registration applied, median up to {targets} targets"),
         nanos[nanos.len() / 2] / 1e3,
         "\u{b5}s",
     ));
     let command = announce(&target_route(1, 1, 0)).encode()?;
-    lines.push(line(
+    results.push(result(
         "registration in the log".to_owned(),
         command.len() as f64,
         "bytes",
     ));
     let after = resident_bytes()?;
-    lines.push(line(
+    results.push(result(
         format!("state of {services} services and {targets} targets, memory"),
         after.saturating_sub(before) as f64 / 1e6,
         "MB",
     ));
-    lines.push(line(
+    results.push(result(
         format!("snapshot of {targets} targets on disk"),
         state.snapshot()?.len() as f64 / 1e6,
         "MB",
     ));
-    measure_feed(&mut state, services, targets, effort, &mut lines)?;
-    measure_leases(services, targets, effort, &mut lines)?;
-    Ok(lines)
+    measure_feed(&mut state, services, targets, effort, &mut results)?;
+    measure_leases(services, targets, effort, &mut results)?;
+    Ok(results)
 }
 
 fn apply_manifest(
     state: &mut ReplicaState,
     services: usize,
-    lines: &mut Vec<CostLine>,
+    results: &mut Vec<CostResult>,
 ) -> Result<(), LabError> {
     let specs = |range: std::ops::Range<usize>| range.map(|it| service_route(it).spec).collect();
     let mut manifest = Manifest {
@@ -92,24 +92,24 @@
     let start = std::time::Instant::now();
     let step = state.apply(&second);
     let elapsed = start.elapsed();
-    let line = |measure: String, figure, unit| CostLine::new(ROLE, measure, figure, unit);
-    lines.extend([
-        line(
+    let result = |measure: String, figure, unit| CostResult::new(ROLE, measure, figure, unit);
+    results.extend([
+        result(
             format!("manifest of {services} services, as sent"),
             text.len() as f64 / 1e6,
             "MB",
         ),
-        line(
+        result(
             format!("manifest of {services} services, in the log"),
             second.len() as f64 / 1e6,
             "MB",
         ),
-        line(
+        result(
             format!("manifest of {services} services, one of them changed, applied"),
             elapsed.as_secs_f64() * 1e3,
             "ms",
         ),
-        line(
+        result(
             "feed changes of one changed service".to_owned(),
             step.changes.len() as f64,
             "changes",
@@ -123,9 +123,9 @@
     services: usize,
     targets: usize,
     effort: CostEffort,
-    lines: &mut Vec<CostLine>,
+    results: &mut Vec<CostResult>,
 ) -> Result<(), LabError> {
-    let missed = |state: &mut ReplicaState, count: u64| -> Result<FeedRevision, LabError> {
+    let apply_missed = |state: &mut ReplicaState, count: u64| -> Result<FeedRevision, LabError> {
         let from = state.state().revision();
         for round in 0..count {
             let index = round as usize * 13 % targets;
@@ -135,48 +135,48 @@
         }
         Ok(from)
     };
-    let line = |measure: &str, figure, unit| CostLine::new(ROLE, measure, figure, unit);
+    let result = |measure: &str, figure, unit| CostResult::new(ROLE, measure, figure, unit);
     let rounds = effort.rounds(50_000).min(50);
     let mut bytes = 0;
     let mut nanos = f64::INFINITY;
     for _ in 0..rounds {
-        let from = missed(state, 1)?;
+        let from = apply_missed(state, 1)?;
         let start = std::time::Instant::now();
-        bytes = answer_bytes(state, from);
+        bytes = reply_bytes(state, from);
         nanos = nanos.min(start.elapsed().as_nanos() as f64);
     }
-    lines.push(line("feed reply with one change", bytes as f64, "bytes"));
-    lines.push(line(
+    results.push(result("feed reply with one change", bytes as f64, "bytes"));
+    results.push(result(
         "feed reply with one change, built",
         nanos / 1e3,
         "\u{b5}s",
     ));
     let from = state.state().revision();
-    let again = nanos_each(rounds, |_| {
+    let empty_nanos = nanos_per_call(rounds, |_| {
         black_box(state.answer(FeedScope::All, from));
     });
-    lines.push(line("feed reply without a change", again, "ns"));
-    let from = missed(state, MISSED)?;
+    results.push(result("feed reply without a change", empty_nanos, "ns"));
+    let from = apply_missed(state, MISSED_CHANGES)?;
     let start = std::time::Instant::now();
     let (bytes, calls) = catch_up(state, from);
     let elapsed = start.elapsed();
-    let measure = |what: &str| format!("catch-up after {MISSED} missed changes, {what}");
-    lines.extend([
-        CostLine::new(ROLE, measure("sent"), bytes as f64 / 1e3, "kB"),
-        CostLine::new(ROLE, measure("calls"), calls as f64, "calls"),
-        CostLine::new(ROLE, measure("built"), elapsed.as_secs_f64() * 1e3, "ms"),
+    let measure = |what: &str| format!("catch-up after {MISSED_CHANGES} missed changes, {what}");
+    results.extend([
+        CostResult::new(ROLE, measure("sent"), bytes as f64 / 1e3, "kB"),
+        CostResult::new(ROLE, measure("calls"), calls as f64, "calls"),
+        CostResult::new(ROLE, measure("built"), elapsed.as_secs_f64() * 1e3, "ms"),
     ]);
     Ok(())
 }
 
-fn answer_bytes(state: &mut ReplicaState, from: FeedRevision) -> usize {
+fn reply_bytes(state: &mut ReplicaState, from: FeedRevision) -> usize {
     match state.answer(FeedScope::All, from) {
         FeedAnswer::News(reply) => reply.bytes(),
         FeedAnswer::Unchanged(_) | FeedAnswer::Behind => 0,
     }
 }
 
-/// Asks until nothing is left; returns the bytes and the number of calls.
+/// Polls the feed until it is up to date; returns the bytes and the number of calls.
 fn catch_up(state: &mut ReplicaState, from: FeedRevision) -> (usize, usize) {
     let (mut from, mut bytes, mut calls) = (from, 0, 0);
     while let FeedAnswer::News(reply) = state.answer(FeedScope::All, from) {
@@ -194,7 +194,7 @@
     services: usize,
     targets: usize,
     effort: CostEffort,
-    lines: &mut Vec<CostLine>,
+    results: &mut Vec<CostResult>,
 ) -> Result<(), LabError> {
     let claims: Vec<LeaseClaim> = (0..targets)
         .map(|index| target_route(index, index % services, 0))
@@ -210,7 +210,7 @@
         table.grant(*claim, ClockMillis::ORIGIN);
     }
     let after = resident_bytes()?;
-    let nanos = nanos_each(effort.rounds(200_000), |round| {
+    let nanos = nanos_per_call(effort.rounds(200_000), |round| {
         let claim = &claims[round * 7 % targets];
         let now = ClockMillis::new(round as u64 / 100);
         black_box(table.renew(claim.target, claim.incarnation, now));
@@ -219,15 +219,15 @@
         target: claims[0].target,
         incarnation: claims[0].incarnation,
     };
-    let line = |measure: &str, figure, unit| CostLine::new(ROLE, measure, figure, unit);
-    lines.extend([
-        line("lease renewed in the table", nanos, "ns"),
-        line(
+    let result = |measure: &str, figure, unit| CostResult::new(ROLE, measure, figure, unit);
+    results.extend([
+        result("lease renewed in the table", nanos, "ns"),
+        result(
             "lease, memory",
             after.saturating_sub(before) as f64 / targets as f64,
             "bytes",
         ),
-        line(
+        result(
             "heartbeat, body of the call",
             serde_json::to_vec(&request)?.len() as f64,
             "bytes",
--- a/src/lab/cost/cost_line.rs
+++ b/src/lab/cost/cost_result.rs
@@ -2,21 +2,19 @@
 
 use serde::Serialize;
 
-/// One measured figure.
+/// A measured figure.
 #[derive(Debug, Clone, Serialize)]
-pub(crate) struct CostLine {
-    /// The role that pays it.
+pub(crate) struct CostResult {
+    /// The role whose process bears the cost.
     pub(crate) role: &'static str,
-    /// What was done.
+    /// What was measured.
     pub(crate) measure: String,
-    /// The figure.
     pub(crate) figure: f64,
-    /// Its unit.
+    /// The unit of the figure.
     pub(crate) unit: &'static str,
 }
 
-impl CostLine {
-    /// Notes a figure.
+impl CostResult {
     pub(crate) fn new(
         role: &'static str,
         measure: impl Into<String>,
@@ -33,17 +31,17 @@
 }
 
 /// Writes the figures as a Markdown table.
-pub(crate) fn write_lines(lines: &[CostLine]) -> Result<String, fmt::Error> {
+pub(crate) fn write_cost_table(results: &[CostResult]) -> Result<String, fmt::Error> {
     let mut text = String::new();
     writeln!(text, "| Role | Measure | Figure | Unit |")?;
     writeln!(text, "|---|---|--:|---|")?;
-    for line in lines {
-        let CostLine {
+    for result in results {
+        let CostResult {
             role,
             measure,
             figure,
             unit,
-        } = line;
+        } = result;
         writeln!(text, "| {role} | {measure} | {figure:.2} | {unit} |")?;
     }
     Ok(text)
--- a/src/lab/cost/mod.rs
+++ b/src/lab/cost/mod.rs
@@ -1,16 +1,16 @@
-//! Slopes: what a packet, a route, a change and a request cost.
+//! Measures time and memory per packet, route, change and request.
 
 mod agent_cost;
+mod batch_timer;
 mod control_cost;
-mod cost_line;
+mod cost_result;
 mod packet_cost;
 mod process_usage;
 mod relay_cost;
 mod route_cost;
 mod sample_routes;
-mod stop_watch;
 
-pub(crate) use cost_line::{CostLine, write_lines};
+pub(crate) use cost_result::{CostResult, write_cost_table};
 
 use std::str::FromStr;
 
@@ -18,17 +18,17 @@
 
 use crate::lab::LabError;
 
-/// How thoroughly the costs are measured.
+/// The size of the measurements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CostEffort {
-    /// The full sizes.
+    /// Full sizes.
     Full,
-    /// Small sizes, which show that the code runs and nothing more.
+    /// Small sizes: they only test that the code runs; the figures are meaningless.
     Short,
 }
 
 impl CostEffort {
-    /// Returns `full`, or a thousandth of it at a short run.
+    /// Returns the number of rounds: `full`, or a thousandth of it in a short run.
     pub(crate) fn rounds(self, full: usize) -> usize {
         match self {
             Self::Full => full,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Returns `full`, or a hundredth of it at a short run.
+    /// Returns a sample size: `full`, or a hundredth of it, at least 7, in a short run.
     pub(crate) fn size(self, full: usize) -> usize {
         match self {
             Self::Full => full,
@@ -50,9 +50,9 @@
 pub(crate) enum CostPart {
     /// The balancer's route table.
     Routes,
-    /// The balancer's decisions.
+    /// The balancer's packet decisions.
     Packets,
-    /// The balancer's packet path through sockets.
+    /// The balancer's packet path, through sockets.
     Relays,
     /// A replica's state.
     Control,
@@ -60,13 +60,12 @@
     Agent,
 }
 
-/// The text names no part of the measurements.
+/// The name is not that of a [`CostPart`].
 #[derive(Debug, Error)]
 #[error("a part is one of routes, packets, relays, control, agent")]
 pub(crate) struct CostPartError;
 
 impl CostPart {
-    /// Every part.
     pub(crate) const ALL: [Self; 5] = [
         Self::Routes,
         Self::Packets,
@@ -75,8 +74,7 @@
         Self::Agent,
     ];
 
-    /// Measures this part.
-    pub(crate) fn measure(self, effort: CostEffort) -> Result<Vec<CostLine>, LabError> {
+    pub(crate) fn measure(self, effort: CostEffort) -> Result<Vec<CostResult>, LabError> {
         match self {
             Self::Routes => route_cost::measure_routes(effort),
             Self::Packets => packet_cost::measure_packets(effort),
--- a/src/lab/cost/packet_cost.rs
+++ b/src/lab/cost/packet_cost.rs
@@ -1,9 +1,9 @@
 use std::hint::black_box;
 
 use super::{
-    CostEffort, CostLine,
+    CostEffort, CostResult,
+    batch_timer::nanos_per_call,
     sample_routes::{service_address, snapshot_of, target_route},
-    stop_watch::nanos_each,
 };
 use crate::{
     balancer::decide_datagram,
@@ -13,35 +13,35 @@
 };
 
 const ROLE: &str = "balancer";
-/// Decisions of one batch.
+/// Decisions per batch.
 const ROUNDS: usize = 200_000;
 /// The size of a first packet in bytes.
 const FIRST_BYTES: usize = 1_200;
-/// Different packets that are decided in turn.
+/// The number of different packets in rotation.
 const PACKETS: usize = 1_024;
 
-/// Measures the decision on a packet against the size of the table.
-pub(super) fn measure_packets(effort: CostEffort) -> Result<Vec<CostLine>, LabError> {
+/// Measures the decision on a packet for several table sizes.
+pub(super) fn measure_packets(effort: CostEffort) -> Result<Vec<CostResult>, LabError> {
     let keys = KeyRing::new(&DeploymentSecret::random(1))?;
-    let mut lines = Vec::new();
+    let mut results = Vec::new();
     for targets in [10, 1_000, 100_000] {
         let targets = effort.size(targets);
         let services = (targets / 8).max(1);
-        lines.push(known_packets(&keys, services, targets, effort)?);
+        results.push(measure_known_packets(&keys, services, targets, effort)?);
     }
     for targets in [7, 100, 1_000, 10_000] {
         let targets = effort.size(targets);
-        lines.push(first_packets(&keys, targets, effort)?);
+        results.push(measure_first_packets(&keys, targets, effort)?);
     }
-    Ok(lines)
+    Ok(results)
 }
 
-fn known_packets(
+fn measure_known_packets(
     keys: &KeyRing,
     services: usize,
     targets: usize,
     effort: CostEffort,
-) -> Result<CostLine, LabError> {
+) -> Result<CostResult, LabError> {
     let mut table = RouteTable::new();
     table.replace(snapshot_of(services, targets))?;
     let packets: Vec<_> = (0..PACKETS)
@@ -60,15 +60,19 @@
             (service_address(index % services), datagram)
         })
         .collect();
-    let nanos = nanos_each(effort.rounds(ROUNDS), |round| {
+    let nanos = nanos_per_call(effort.rounds(ROUNDS), |round| {
         let (address, datagram) = &packets[round % PACKETS];
         black_box(decide_datagram(&table, keys, *address, datagram));
     });
     let measure = format!("decision on a known packet, {targets} targets in the table");
-    Ok(CostLine::new(ROLE, measure, nanos, "ns"))
+    Ok(CostResult::new(ROLE, measure, nanos, "ns"))
 }
 
-fn first_packets(keys: &KeyRing, targets: usize, effort: CostEffort) -> Result<CostLine, LabError> {
+fn measure_first_packets(
+    keys: &KeyRing,
+    targets: usize,
+    effort: CostEffort,
+) -> Result<CostResult, LabError> {
     let mut table = RouteTable::new();
     table.replace(snapshot_of(1, targets))?;
     let packets: Vec<Vec<u8>> = (0..PACKETS)
@@ -80,10 +84,10 @@
         })
         .collect();
     let address = service_address(0);
-    let nanos = nanos_each(effort.rounds(ROUNDS), |round| {
+    let nanos = nanos_per_call(effort.rounds(ROUNDS), |round| {
         let datagram = &packets[round % PACKETS];
         black_box(decide_datagram(&table, keys, address, datagram));
     });
     let measure = format!("decision on a first packet, service of {targets} targets");
-    Ok(CostLine::new(ROLE, measure, nanos, "ns"))
+    Ok(CostResult::new(ROLE, measure, nanos, "ns"))
 }
--- a/src/lab/cost/relay_cost.rs
+++ b/src/lab/cost/relay_cost.rs
@@ -14,8 +14,8 @@
 use arc_swap::ArcSwap;
 
 use super::{
-    CostEffort, CostLine,
-    process_usage::thread_nanos,
+    CostEffort, CostResult,
+    process_usage::thread_cpu_nanos,
     sample_routes::{service_route, target_route},
 };
 use crate::{
@@ -28,66 +28,76 @@
 };
 
 const ROLE: &str = "balancer";
-/// Packets of one trial.
+/// Packets per trial.
 const PACKETS: usize = 400_000;
-/// Packets that are on their way at most.
-const WINDOW: u64 = 256;
-/// The time without progress after which missing packets count as lost.
-const STALL: Duration = Duration::from_millis(20);
-/// Trials of each kind; the quickest counts.
+/// The most packets in flight.
+const MAX_IN_FLIGHT: u64 = 256;
+/// The time without arrivals after which missing packets count as lost.
+const STALL_TIMEOUT: Duration = Duration::from_millis(20);
+/// Trials of each kind; the one with the least CPU time counts.
 const TRIALS: usize = 3;
 
-/// What stands between sender and sink.
+/// The relay between sender and sink.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RelayKind {
-    /// Receives and sends on, nothing else.
+    /// Forwards each datagram unchanged.
     Plain,
     /// The balancer's packet path.
     Balancer,
 }
 
-/// The figures of one trial.
+/// The results of one trial.
 #[derive(Debug, Clone, Copy)]
 struct RelayTrial {
-    /// Processor time of the relaying thread for each packet.
-    nanos: f64,
-    /// Packets that arrived in a second.
-    rate: f64,
-    /// The share of packets that did not arrive.
-    lost: f64,
+    /// CPU time of the relay thread per packet.
+    cpu_nanos: f64,
+    /// Packets received per second.
+    packets_per_second: f64,
+    /// The fraction of packets that did not arrive.
+    lost_share: f64,
 }
 
-/// Measures the balancer's packet path through real sockets beside a plain relay.
-pub(super) fn measure_relays(effort: CostEffort) -> Result<Vec<CostLine>, LabError> {
-    let mut lines = Vec::new();
+/// Measures the balancer's packet path through real sockets, compared with a plain relay.
+pub(super) fn measure_relays(effort: CostEffort) -> Result<Vec<CostResult>, LabError> {
+    let mut results = Vec::new();
     for size in [200, 1_200] {
         let plain = best_trial(RelayKind::Plain, size, effort)?;
         let balancer = best_trial(RelayKind::Balancer, size, effort)?;
         for (name, trial) in [("plain relay", plain), ("balancer", balancer)] {
             let measure = |what: &str| format!("{name}, packets of {size} bytes, {what}");
-            lines.extend([
-                CostLine::new(ROLE, measure("processor time a packet"), trial.nanos, "ns"),
-                CostLine::new(ROLE, measure("through one thread"), trial.rate, "packets/s"),
-                CostLine::new(ROLE, measure("lost"), trial.lost * 100.0, "%"),
+            results.extend([
+                CostResult::new(
+                    ROLE,
+                    measure("processor time a packet"),
+                    trial.cpu_nanos,
+                    "ns",
+                ),
+                CostResult::new(
+                    ROLE,
+                    measure("through one thread"),
+                    trial.packets_per_second,
+                    "packets/s",
+                ),
+                CostResult::new(ROLE, measure("lost"), trial.lost_share * 100.0, "%"),
             ]);
         }
         let measure = format!("balancer to plain relay, packets of {size} bytes");
-        let ratio = plain.nanos / balancer.nanos;
-        lines.push(CostLine::new(
+        let ratio = plain.cpu_nanos / balancer.cpu_nanos;
+        results.push(CostResult::new(
             ROLE,
             measure,
             ratio,
             "ratio of packets a core",
         ));
     }
-    Ok(lines)
+    Ok(results)
 }
 
 fn best_trial(kind: RelayKind, size: usize, effort: CostEffort) -> Result<RelayTrial, LabError> {
     let mut best: Option<RelayTrial> = None;
     for _ in 0..TRIALS {
         let trial = run_trial(kind, size, effort.rounds(PACKETS) as u64)?;
-        if best.is_none_or(|known| trial.nanos < known.nanos) {
+        if best.is_none_or(|best| trial.cpu_nanos < best.cpu_nanos) {
             best = Some(trial);
         }
     }
@@ -96,53 +106,53 @@
 
 fn run_trial(kind: RelayKind, size: usize, packets: u64) -> Result<RelayTrial, LabError> {
     let sink = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
-    sink.set_read_timeout(Some(STALL))?;
+    sink.set_read_timeout(Some(STALL_TIMEOUT))?;
     let sink_address = local_v4(&sink)?;
     let arrived = Arc::new(AtomicU64::new(0));
-    let is_over = Arc::new(AtomicBool::new(false));
+    let is_done = Arc::new(AtomicBool::new(false));
     let counter = thread::spawn({
-        let (arrived, is_over) = (Arc::clone(&arrived), Arc::clone(&is_over));
-        move || count_arrivals(&sink, &arrived, &is_over)
+        let (arrived, is_done) = (Arc::clone(&arrived), Arc::clone(&is_done));
+        move || count_arrivals(&sink, &arrived, &is_done)
     });
     let (sender, receiver) = mpsc::channel();
     let relay = thread::spawn({
-        let is_over = Arc::clone(&is_over);
-        move || run_relay(kind, sink_address, &sender, &is_over)
+        let is_done = Arc::clone(&is_done);
+        move || run_relay(kind, sink_address, &sender, &is_done)
     });
-    let ready = receiver
+    let endpoint = receiver
         .recv()
         .map_err(|_| io::Error::from(io::ErrorKind::BrokenPipe))?;
     let start = Instant::now();
-    send_packets(&ready, size, packets, &arrived)?;
+    send_packets(&endpoint, size, packets, &arrived)?;
     let elapsed = start.elapsed();
-    is_over.store(true, Ordering::Relaxed);
+    is_done.store(true, Ordering::Relaxed);
     // Two packets wake the relay up, which waits for one.
     let waker = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
     for _ in 0..2 {
-        waker.send_to(&ready.datagram(size), ready.address)?;
+        waker.send_to(&endpoint.datagram(size), endpoint.address)?;
     }
-    let nanos = relay
+    let cpu_nanos = relay
         .join()
         .map_err(|_| io::Error::from(io::ErrorKind::Other))??;
     counter
         .join()
         .map_err(|_| io::Error::from(io::ErrorKind::Other))?;
-    let got = arrived.load(Ordering::Relaxed).min(packets);
+    let received = arrived.load(Ordering::Relaxed).min(packets);
     Ok(RelayTrial {
-        nanos: nanos as f64 / got.max(1) as f64,
-        rate: got as f64 / elapsed.as_secs_f64(),
-        lost: 1.0 - got as f64 / packets as f64,
+        cpu_nanos: cpu_nanos as f64 / received.max(1) as f64,
+        packets_per_second: received as f64 / elapsed.as_secs_f64(),
+        lost_share: 1.0 - received as f64 / packets as f64,
     })
 }
 
-/// Where the relay listens, and the start of what it forwards.
+/// The relay's address, and the header that its packets must start with.
 #[derive(Debug)]
-struct RelayReady {
+struct RelayEndpoint {
     address: SocketAddrV4,
     header: Vec<u8>,
 }
 
-impl RelayReady {
+impl RelayEndpoint {
     fn datagram(&self, size: usize) -> Vec<u8> {
         let mut datagram = self.header.clone();
         datagram.resize(size, 7);
@@ -151,24 +161,24 @@
 }
 
 fn send_packets(
-    ready: &RelayReady,
+    endpoint: &RelayEndpoint,
     size: usize,
     packets: u64,
     arrived: &AtomicU64,
 ) -> io::Result<()> {
     let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
-    let datagram = ready.datagram(size);
-    let mut given_up = 0;
+    let datagram = endpoint.datagram(size);
+    let mut lost = 0;
     for sent in 1..=packets {
-        socket.send_to(&datagram, ready.address)?;
-        let limit = if sent == packets { 0 } else { WINDOW };
-        let mut last = (arrived.load(Ordering::Relaxed), Instant::now());
-        while arrived.load(Ordering::Relaxed) + given_up + limit < sent {
+        socket.send_to(&datagram, endpoint.address)?;
+        let window = if sent == packets { 0 } else { MAX_IN_FLIGHT };
+        let mut progress = (arrived.load(Ordering::Relaxed), Instant::now());
+        while arrived.load(Ordering::Relaxed) + lost + window < sent {
             let now = arrived.load(Ordering::Relaxed);
-            if now != last.0 {
-                last = (now, Instant::now());
-            } else if last.1.elapsed() > STALL {
-                given_up = sent - now;
+            if now != progress.0 {
+                progress = (now, Instant::now());
+            } else if progress.1.elapsed() > STALL_TIMEOUT {
+                lost = sent - now;
             }
             thread::yield_now();
         }
@@ -176,62 +186,62 @@
     Ok(())
 }
 
-fn count_arrivals(sink: &UdpSocket, arrived: &AtomicU64, is_over: &AtomicBool) {
+fn count_arrivals(sink: &UdpSocket, arrived: &AtomicU64, is_done: &AtomicBool) {
     let mut buffer = [0; 2_048];
-    while !is_over.load(Ordering::Relaxed) {
+    while !is_done.load(Ordering::Relaxed) {
         if sink.recv(&mut buffer).is_ok() {
             arrived.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-/// Relays until the trial is over; returns the thread's processor time.
+/// Relays until the trial is done; returns the thread's CPU time in nanoseconds.
 fn run_relay(
     kind: RelayKind,
     sink: SocketAddrV4,
-    ready: &mpsc::Sender<RelayReady>,
-    is_over: &AtomicBool,
+    ready: &mpsc::Sender<RelayEndpoint>,
+    is_done: &AtomicBool,
 ) -> Result<u64, LabError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     runtime.block_on(async {
         match kind {
-            RelayKind::Plain => relay_plainly(sink, ready, is_over).await,
-            RelayKind::Balancer => relay_balanced(sink, ready, is_over).await,
+            RelayKind::Plain => run_plain_relay(sink, ready, is_done).await,
+            RelayKind::Balancer => run_balancer_relay(sink, ready, is_done).await,
         }
     })
 }
 
-async fn relay_plainly(
+async fn run_plain_relay(
     sink: SocketAddrV4,
-    ready: &mpsc::Sender<RelayReady>,
-    is_over: &AtomicBool,
+    ready: &mpsc::Sender<RelayEndpoint>,
+    is_done: &AtomicBool,
 ) -> Result<u64, LabError> {
     let any = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
     let socket = DatagramSocket::bind(any)?;
     let out = DatagramSocket::bind(any)?;
     let address = socket.local();
     let header = vec![0x40];
-    // The trial ends by itself if nobody waits for the relay.
-    let _ = ready.send(RelayReady { address, header });
+    // The trial ends by itself if the receiver is gone.
+    let _ = ready.send(RelayEndpoint { address, header });
     let mut buffers = ReceiveBuffers::new();
-    let start = thread_nanos()?;
-    while !is_over.load(Ordering::Relaxed) {
+    let start = thread_cpu_nanos()?;
+    while !is_done.load(Ordering::Relaxed) {
         socket
             .receive(&mut buffers, |datagram| {
-                // What the kernel does not take shows as lost.
+                // A datagram that the kernel refuses counts as lost.
                 let _ = out.try_send(sink, datagram.payload, datagram.ecn, None);
             })
             .await?;
     }
-    Ok(thread_nanos()? - start)
+    Ok(thread_cpu_nanos()? - start)
 }
 
-async fn relay_balanced(
+async fn run_balancer_relay(
     sink: SocketAddrV4,
-    ready: &mpsc::Sender<RelayReady>,
-    is_over: &AtomicBool,
+    ready: &mpsc::Sender<RelayEndpoint>,
+    is_done: &AtomicBool,
 ) -> Result<u64, LabError> {
     let secret = SecretStore::new(&DeploymentSecret::random(1))?;
     let port = local_v4(&UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?)?.port();
@@ -251,12 +261,12 @@
         Ipv4Addr::LOCALHOST,
         1,
     )?;
-    // The trial ends by itself if nobody waits for the relay.
-    let _ = ready.send(RelayReady { address, header });
+    // The trial ends by itself if the receiver is gone.
+    let _ = ready.send(RelayEndpoint { address, header });
     let mut buffers = ReceiveBuffers::new();
     let mut scratch = FrameScratch::default();
-    let start = thread_nanos()?;
-    while !is_over.load(Ordering::Relaxed) {
+    let start = thread_cpu_nanos()?;
+    while !is_done.load(Ordering::Relaxed) {
         socket
             .receive(&mut buffers, |datagram| {
                 if let Some(arrived_at) = listeners.arrived_at(&socket, &datagram) {
@@ -265,11 +275,11 @@
             })
             .await?;
     }
-    Ok(thread_nanos()? - start)
+    Ok(thread_cpu_nanos()? - start)
 }
 
-/// Returns a table whose one target is the sink, and the header of a packet
-/// of a connection to it.
+/// Returns a table with the sink as its only target, and the packet header of a
+/// connection to it.
 fn sink_routes(
     address: SocketAddrV4,
     sink: SocketAddrV4,
--- a/src/lab/cost/sample_routes.rs
+++ b/src/lab/cost/sample_routes.rs
@@ -7,15 +7,15 @@
     route::{RouteChange, RouteDelta, RouteSnapshot, ServiceRoute, TargetPhase, TargetRoute},
 };
 
-/// Regions of the sample.
+/// The number of regions in the sample.
 const REGIONS: usize = 5;
-/// Failure domains of the sample.
+/// The number of failure domains in the sample.
 const FAILURE_DOMAINS: usize = 15;
-/// The first of the service addresses.
+/// The IP address of the first service.
 const FIRST_ADDRESS: u32 = 0x0a09_0000;
-/// The first of the target addresses.
+/// The IP address of the first target.
 const FIRST_TARGET: u32 = 0x0a40_0000;
-/// The port of every address.
+/// The port of all services.
 const PORT: u16 = 443;
 
 /// Returns the address of the service with a number.
@@ -38,14 +38,14 @@
     }
 }
 
-/// Returns the target with an index, of a service; its run is given too.
+/// Returns the target with an index; each `run` has another incarnation.
 pub(super) fn target_route(index: usize, service: usize, run: u64) -> TargetRoute {
     let key = SocketAddrV4::new(Ipv4Addr::from_bits(FIRST_TARGET + index as u32), 4_000);
     let domain = index % FAILURE_DOMAINS;
     TargetRoute {
         key: TargetKey::new(key),
         service: ServiceNumber::new(service as u16),
-        incarnation: IncarnationId::new(spread(index as u64 ^ run << 32)),
+        incarnation: IncarnationId::new(mix_bits(index as u64 ^ run << 32)),
         domain: DomainName::new(
             &format!("region-{}", domain % REGIONS),
             &format!("domain-{domain}"),
@@ -56,7 +56,7 @@
     }
 }
 
-/// Returns a state of so many services and targets, the targets spread evenly.
+/// Returns a snapshot whose targets are spread evenly over the services.
 pub(super) fn snapshot_of(services: usize, targets: usize) -> RouteSnapshot {
     RouteSnapshot {
         revision: FeedRevision::new(1),
@@ -68,7 +68,7 @@
     }
 }
 
-/// Returns the change of the state from one revision to the next.
+/// Returns the delta from revision `after` to the next one.
 pub(super) fn delta_of(after: u64, changes: Vec<RouteChange>) -> RouteDelta {
     RouteDelta {
         after: FeedRevision::new(after),
@@ -78,8 +78,8 @@
     }
 }
 
-/// Makes neighbouring numbers differ in all bits.
-fn spread(number: u64) -> u64 {
+/// Mixes the bits, so that consecutive numbers look unrelated.
+fn mix_bits(number: u64) -> u64 {
     number
         .wrapping_add(1)
         .wrapping_mul(0x9e37_79b9_7f4a_7c15)
--- a/src/lab/lab_cli.rs
+++ b/src/lab/lab_cli.rs
@@ -4,7 +4,7 @@
 
 use super::{
     LabError,
-    cost::{CostEffort, CostPart, write_lines},
+    cost::{CostEffort, CostPart, write_cost_table},
     policy::{PolicyCase, draw_plot, failure_cases, policy_cases, run_cases, write_tables},
 };
 use crate::program::ExitStatus;
@@ -15,7 +15,6 @@
     /// Prints the help text.
     #[options(help = "print this text")]
     help: bool,
-    /// What to do.
     #[options(command)]
     command: Option<LabCommand>,
 }
@@ -24,46 +23,46 @@
 enum LabCommand {
     /// Compares accepting and relay rules.
     #[options(help = "compare accepting and relay rules")]
-    Policy(TrialOptions),
-    /// Shows what failures cost.
-    #[options(help = "show what failures cost under the chosen rules")]
-    Failure(TrialOptions),
-    /// Measures what packets, routes, changes and requests cost.
-    #[options(help = "measure what packets, routes, changes and requests cost")]
+    Policy(ExperimentOptions),
+    /// Shows the effects of failures.
+    #[options(help = "show the effects of failures under the chosen rules")]
+    Failure(ExperimentOptions),
+    /// Measures the cost of packets, routes, changes and requests.
+    #[options(help = "measure the cost of packets, routes, changes and requests")]
     Cost(CostOptions),
 }
 
-/// The options of the measurement of costs.
+/// The options of `cyclamen-lab cost`.
 #[derive(Debug, Options)]
 struct CostOptions {
     /// Prints the help text.
     #[options(help = "print this text")]
     help: bool,
-    /// The one part to measure.
+    /// The part to measure; all if absent.
     #[options(
         no_short,
         meta = "PART",
         help = "routes, packets, relays, control or agent; all without it"
     )]
     part: Option<CostPart>,
-    /// Runs all code on small sizes.
+    /// Uses small sizes.
     #[options(
         no_short,
-        help = "run all code on small sizes; the figures say nothing"
+        help = "run all code on small sizes; the figures are meaningless"
     )]
     short: bool,
-    /// Prints JSON in place of a table.
-    #[options(no_short, help = "print JSON in place of a Markdown table")]
+    /// Prints JSON instead of a table.
+    #[options(no_short, help = "print JSON instead of a Markdown table")]
     json: bool,
 }
 
-/// The options of an experiment.
+/// The options of `cyclamen-lab policy` and `failure`.
 #[derive(Debug, Options)]
-struct TrialOptions {
+struct ExperimentOptions {
     /// Prints the help text.
     #[options(help = "print this text")]
     help: bool,
-    /// The seed of every draw.
+    /// The first of the five seeds of each case.
     #[options(
         no_short,
         meta = "N",
@@ -71,27 +70,27 @@
         default = "1"
     )]
     seed: u64,
-    /// The requests that each run measures.
+    /// The number of requests measured per run.
     #[options(
         no_short,
         meta = "N",
-        help = "requests measured a run; each case has five",
+        help = "requests measured per run; each case has five runs",
         default = "100000"
     )]
     requests: u64,
-    /// Prints JSON in place of tables.
-    #[options(no_short, help = "print JSON in place of Markdown tables")]
+    /// Prints JSON instead of tables.
+    #[options(no_short, help = "print JSON instead of Markdown tables")]
     json: bool,
-    /// Where the plot goes.
+    /// The SVG file for the plot.
     #[options(
         no_short,
         meta = "FILE",
-        help = "draw the relay rules into an SVG file"
+        help = "plot the waits of the relay rules to an SVG file"
     )]
     plot: Option<PathBuf>,
 }
 
-/// Runs `cyclamen-lab` from its command line to its exit code.
+/// Runs `cyclamen-lab` with the process arguments and returns its exit code.
 #[must_use]
 pub fn run_lab() -> ExitCode {
     let arguments: Vec<String> = env::args().skip(1).collect();
@@ -103,13 +102,13 @@
         }
     };
     let outcome = match options.command {
-        Some(LabCommand::Policy(trial)) => {
-            run_trial(&trial, &policy_cases(trial.seed, trial.requests))
+        Some(LabCommand::Policy(options)) => {
+            run_experiment(&options, &policy_cases(options.seed, options.requests))
         }
-        Some(LabCommand::Failure(trial)) => {
-            run_trial(&trial, &failure_cases(trial.seed, trial.requests))
+        Some(LabCommand::Failure(options)) => {
+            run_experiment(&options, &failure_cases(options.seed, options.requests))
         }
-        Some(LabCommand::Cost(cost)) => run_cost(&cost),
+        Some(LabCommand::Cost(options)) => run_cost(&options),
         None => {
             println!(
                 "Usage: cyclamen-lab COMMAND [OPTIONS]\n\n{}",
@@ -141,21 +140,21 @@
     let parts = options
         .part
         .map_or(CostPart::ALL.to_vec(), |part| vec![part]);
-    let mut lines = Vec::new();
+    let mut results = Vec::new();
     for part in parts {
-        lines.extend(part.measure(effort)?);
+        results.extend(part.measure(effort)?);
     }
     if options.json {
-        println!("{}", serde_json::to_string_pretty(&lines)?);
+        println!("{}", serde_json::to_string_pretty(&results)?);
     } else {
-        print!("{}", write_lines(&lines)?);
+        print!("{}", write_cost_table(&results)?);
     }
     Ok(())
 }
 
-fn run_trial(options: &TrialOptions, cases: &[PolicyCase]) -> Result<(), LabError> {
+fn run_experiment(options: &ExperimentOptions, cases: &[PolicyCase]) -> Result<(), LabError> {
     if options.help {
-        println!("{}", TrialOptions::usage());
+        println!("{}", ExperimentOptions::usage());
         return Ok(());
     }
     let results = run_cases(cases);
--- a/src/lab/lab_error.rs
+++ b/src/lab/lab_error.rs
@@ -6,7 +6,7 @@
 use super::policy::PlotError;
 use crate::{control::StateError, route::RouteError, secret::SecretError};
 
-/// Why an experiment or a measurement could not be made or reported.
+/// Why an experiment or a measurement failed, or its results could not be written.
 #[derive(Debug, Error, Diagnostic)]
 pub(crate) enum LabError {
     /// The plot could not be drawn.
@@ -21,15 +21,15 @@
     #[error("the results can't be written as tables: {0}")]
     #[diagnostic(code(lab::table))]
     Table(#[from] fmt::Error),
-    /// The system refused what a measurement needs.
+    /// A file or socket operation of a measurement failed.
     #[error("the measurement failed: {0}")]
     #[diagnostic(code(lab::system))]
     System(#[from] io::Error),
-    /// The route table refused the sample.
+    /// The route table rejected the sample.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Route(#[from] RouteError),
-    /// The control state refused the sample.
+    /// The control state rejected the sample.
     #[error(transparent)]
     #[diagnostic(transparent)]
     State(#[from] StateError),
--- a/src/lab/mod.rs
+++ b/src/lab/mod.rs
@@ -1,7 +1,7 @@
-//! A small queueing model of the users' systems and the experiments on it.
+//! A queueing simulation of the users' services, the experiments on it, and cost measurements.
 //!
-//! The model knows arrivals, connections, slots and messages that are late or
-//! lost. It answers which accepting and relay rules the product should use.
+//! The simulation covers arrivals, connections, slots, and delayed or lost messages.
+//! The experiments compare the accepting and relay rules that the product could use.
 
 mod cost;
 mod lab_cli;
--- a/src/lab/model/accept_rule.rs
+++ b/src/lab/model/accept_rule.rs
@@ -3,42 +3,42 @@
 use super::ModelMicros;
 use crate::{agent::admission, clock::SpanMillis};
 
-/// How a new connection finds the target that keeps it.
+/// How the target of a new connection is chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum AcceptRule {
-    /// The first candidate of the hash always accepts.
+    /// The first candidate in hash order always accepts.
     HashOnly,
-    /// A candidate passes on while it has that much to do.
+    /// A candidate passes the connection on while its load is at or above a threshold.
     Threshold {
-        /// The work, in thousandths of its slots, from which on it passes on.
+        /// The threshold in thousandths of the slots.
         load_permille: u32,
     },
-    /// The less loaded of two accepts; the second one is asked each time.
+    /// The less loaded of two candidates accepts; the second is probed each time.
     FreshProbe {
-        /// The work, in thousandths of the slots, that it must be ahead by.
+        /// The load difference needed to pass on, in thousandths of the slots.
         margin_permille: u32,
     },
-    /// The less loaded of two accepts, by what the second one last reported.
+    /// The less loaded of two candidates accepts, by the last load report of the second.
     LaggingReport {
-        /// The work, in thousandths of the slots, that it must be ahead by.
+        /// The load difference needed to pass on, in thousandths of the slots.
         margin_permille: u32,
     },
 }
 
 impl AcceptRule {
-    /// A margin that work never reaches, so that connections decide.
+    /// A margin that request load never reaches, so that connection counts decide.
     pub(crate) const CONNECTIONS_ONLY: u32 = 1_000_000;
 
-    /// Returns the rule of the agent's gate when reports come every `period`.
-    pub(crate) fn gate_rule(self, period: ModelMicros) -> admission::AcceptRule {
+    /// Returns the agent's admission rule when load reports come every `period`.
+    pub(crate) fn admission_rule(self, period: ModelMicros) -> admission::AcceptRule {
         match self {
             Self::HashOnly => admission::AcceptRule::HashOnly,
             Self::Threshold { load_permille } => admission::AcceptRule::Threshold { load_permille },
             Self::FreshProbe { margin_permille } | Self::LaggingReport { margin_permille } => {
                 admission::AcceptRule::LeastLoadedOfTwo {
                     margin_permille,
-                    stale_after: SpanMillis::new(period.clock().millis() * 2),
+                    stale_after: SpanMillis::new(period.to_clock().millis() * 2),
                 }
             }
         }
@@ -52,20 +52,20 @@
             Self::FreshProbe { margin_permille } => {
                 format!(
                     "less loaded of two, fresh probe, {}",
-                    measure_of(margin_permille)
+                    margin_label(margin_permille)
                 )
             }
             Self::LaggingReport { margin_permille } => {
                 format!(
                     "less loaded of two, lagging reports, {}",
-                    measure_of(margin_permille)
+                    margin_label(margin_permille)
                 )
             }
         }
     }
 }
 
-fn measure_of(margin_permille: u32) -> String {
+fn margin_label(margin_permille: u32) -> String {
     if margin_permille == AcceptRule::CONNECTIONS_ONLY {
         "by connections".to_owned()
     } else {
--- a/src/lab/model/connection_step.rs
+++ b/src/lab/model/connection_step.rs
@@ -1,103 +1,108 @@
 use rand::Rng;
 
 use super::{
-    AcceptRule, ConnectionKey, LabModel, MessageKind, ModelEvent, ModelMicros, lab_model::domain_of,
+    AcceptRule, CallerKey, LabModel, MessageKind, ModelEvent, ModelMicros, lab_model::domain_of,
 };
 use crate::agent::admission::{
     AdmissionVerdict, CandidatePlace, ClientCid, ConnectionOffer, PeerLoad, TargetLoad,
 };
 
 impl LabModel {
-    /// The candidates that the hash names for a first packet.
-    const CHAIN: usize = 3;
+    /// The number of candidates for a first packet.
+    const CANDIDATES: usize = 3;
     /// The time after which a caller resends a first packet.
-    const FIRST_RESEND: ModelMicros = ModelMicros::from_seconds(1);
-    /// The mean life of a connection, shortened so that runs see new ones.
-    const MEAN_LIFE: ModelMicros = ModelMicros::from_seconds(300);
+    const FIRST_PACKET_RESEND: ModelMicros = ModelMicros::from_seconds(1);
+    /// The mean lifetime of a connection, shortened so that runs contain new connections.
+    const MEAN_LIFETIME: ModelMicros = ModelMicros::from_seconds(300);
 
-    /// Lets a further caller connect.
+    /// Adds a caller and connects it.
     pub(super) fn connect_caller(&mut self) {
-        let key = self.pool.insert();
+        let key = self.population.insert();
         self.reconnect(key);
     }
 
-    /// Lets a caller connect anew.
-    pub(super) fn reconnect(&mut self, key: ConnectionKey) {
-        let chain = self.draw_chain();
-        let cid = self.random.random();
-        if let Some(connection) = self.pool.get_mut(key) {
-            connection.home = None;
-            connection.chain = chain;
-            connection.cid = cid;
+    /// Opens a new connection for a caller.
+    pub(super) fn reconnect(&mut self, key: CallerKey) {
+        let candidates = self.draw_candidates();
+        let cid = self.rng.random();
+        if let Some(caller) = self.population.get_mut(key) {
+            caller.home = None;
+            caller.candidates = candidates;
+            caller.cid = cid;
         }
-        self.offer(key, 0);
+        self.send_first_packet(key, 0);
     }
 
-    /// Draws candidates, each next one in another failure domain if there is one.
-    fn draw_chain(&mut self) -> Vec<usize> {
+    /// Draws candidates, each in a failure domain not used yet, while there is one.
+    fn draw_candidates(&mut self) -> Vec<usize> {
         let mut rest = self.draw_peers(usize::MAX, usize::MAX);
-        let mut chain: Vec<usize> = Vec::with_capacity(Self::CHAIN);
-        while chain.len() < Self::CHAIN && !rest.is_empty() {
-            let is_apart = |target: &usize| {
+        let mut candidates: Vec<usize> = Vec::with_capacity(Self::CANDIDATES);
+        while candidates.len() < Self::CANDIDATES && !rest.is_empty() {
+            let is_other_domain = |target: &usize| {
                 let domain = domain_of(*target);
-                chain.iter().all(|&earlier| domain_of(earlier) != domain)
+                candidates
+                    .iter()
+                    .all(|&earlier| domain_of(earlier) != domain)
             };
-            let place = rest.iter().position(is_apart).unwrap_or(0);
-            chain.push(rest.remove(place));
+            let index = rest.iter().position(is_other_domain).unwrap_or(0);
+            candidates.push(rest.remove(index));
         }
-        chain
+        candidates
     }
 
-    /// Offers a connection to the candidate at `place` of its chain.
-    pub(super) fn offer(&mut self, key: ConnectionKey, place: usize) {
-        let Some(connection) = self.pool.get_mut(key) else {
+    /// Sends a first packet to the candidate at `position`.
+    pub(super) fn send_first_packet(&mut self, key: CallerKey, position: usize) {
+        let Some(caller) = self.population.get_mut(key) else {
             return;
         };
-        connection.place = place;
-        let Some(&target) = connection.chain.get(place) else {
-            self.enter_in(Self::FIRST_RESEND, ModelEvent::Reconnect(key));
+        caller.position = position;
+        let Some(&target) = caller.candidates.get(position) else {
+            self.schedule_in(Self::FIRST_PACKET_RESEND, ModelEvent::Reconnect(key));
             return;
         };
         if !self.stations[target].is_reachable() {
-            self.enter_in(Self::FIRST_RESEND, ModelEvent::OfferAgain(key, place + 1));
+            self.schedule_in(
+                Self::FIRST_PACKET_RESEND,
+                ModelEvent::NextCandidate(key, position + 1),
+            );
             return;
         }
-        if place > 0 && self.is_measuring() {
-            self.measure.passed += 1;
+        if position > 0 && self.is_measuring() {
+            self.metrics.passed_on += 1;
         }
-        self.send(target, target, MessageKind::Offer(key));
+        self.send(target, target, MessageKind::FirstPacket(key));
     }
 
-    /// Decides on an offered connection at a candidate.
-    pub(super) fn weigh_offer(&mut self, target: usize, key: ConnectionKey) {
-        let Some(connection) = self.pool.get(key) else {
+    /// Decides on a new connection at a candidate, or probes the next one first.
+    pub(super) fn handle_first_packet(&mut self, target: usize, key: CallerKey) {
+        let Some(caller) = self.population.get(key) else {
             return;
         };
-        let next = connection.chain.get(connection.place + 1).copied();
+        let next = caller.candidates.get(caller.position + 1).copied();
         match (self.setup.accept, next) {
             (AcceptRule::FreshProbe { .. }, Some(next)) => {
                 self.send(target, next, MessageKind::LoadProbe(key));
             }
             (AcceptRule::LaggingReport { .. }, Some(next)) => {
                 let report = self.stations[next].reported;
-                self.ask_gate(target, key, report);
+                self.decide_admission(target, key, report);
             }
-            _ => self.ask_gate(target, key, None),
+            _ => self.decide_admission(target, key, None),
         }
     }
 
-    /// Takes the reply of the next candidate at the present one.
-    pub(super) fn weigh_reply(&mut self, target: usize, key: ConnectionKey, load: TargetLoad) {
-        let seen = self.now.clock();
-        self.ask_gate(target, key, Some(PeerLoad { load, seen }));
+    /// Decides on a new connection with the probed load of the next candidate.
+    pub(super) fn handle_load_reply(&mut self, target: usize, key: CallerKey, load: TargetLoad) {
+        let seen = self.now.to_clock();
+        self.decide_admission(target, key, Some(PeerLoad { load, seen }));
     }
 
-    fn ask_gate(&mut self, target: usize, key: ConnectionKey, next: Option<PeerLoad>) {
-        let Some(connection) = self.pool.get(key) else {
+    fn decide_admission(&mut self, target: usize, key: CallerKey, next: Option<PeerLoad>) {
+        let Some(caller) = self.population.get(key) else {
             return;
         };
-        let is_last = connection.place + 1 >= connection.chain.len();
-        let Some(cid) = ClientCid::new(&connection.cid.to_be_bytes()) else {
+        let is_last = caller.position + 1 >= caller.candidates.len();
+        let Some(cid) = ClientCid::new(&caller.cid.to_be_bytes()) else {
             return;
         };
         let offer = ConnectionOffer {
@@ -109,51 +114,51 @@
             },
             next,
         };
-        let now = self.now.clock();
+        let now = self.now.to_clock();
         let station = &mut self.stations[target];
         let load = station.load();
         match station.gate.admit(offer, load, now) {
-            AdmissionVerdict::Accept => self.accept(target, key),
+            AdmissionVerdict::Accept => self.accept_connection(target, key),
             AdmissionVerdict::PassOn => {
-                let place = connection.place + 1;
-                self.offer(key, place);
+                let position = caller.position + 1;
+                self.send_first_packet(key, position);
             }
             AdmissionVerdict::Refuse { retry_after } => {
                 let wait = ModelMicros::from_millis(retry_after.millis());
-                self.enter_in(wait, ModelEvent::Reconnect(key));
+                self.schedule_in(wait, ModelEvent::Reconnect(key));
             }
         }
     }
 
-    /// Keeps a connection at a target.
-    pub(super) fn accept(&mut self, target: usize, key: ConnectionKey) {
-        let Some(connection) = self.pool.get_mut(key) else {
+    /// Adds a connection to a target, unless another one has accepted it.
+    pub(super) fn accept_connection(&mut self, target: usize, key: CallerKey) {
+        let Some(caller) = self.population.get_mut(key) else {
             return;
         };
-        if connection.home.is_none() {
-            connection.home = Some(target);
-            connection.renewals += 1;
-            let renewals = connection.renewals;
+        if caller.home.is_none() {
+            caller.home = Some(target);
+            caller.generation += 1;
+            let generation = caller.generation;
             self.stations[target].connections.push(key);
-            let life = self.draw_life();
-            self.enter_in(life, ModelEvent::Close(key, renewals));
+            let lifetime = self.draw_lifetime();
+            self.schedule_in(lifetime, ModelEvent::Close(key, generation));
         }
     }
 
-    fn draw_life(&mut self) -> ModelMicros {
-        let share: f64 = self.random.random();
-        Self::MEAN_LIFE.scaled(-(1.0 - share).ln())
+    fn draw_lifetime(&mut self) -> ModelMicros {
+        let uniform: f64 = self.rng.random();
+        Self::MEAN_LIFETIME.scaled(-(1.0 - uniform).ln())
     }
 
-    /// Ends a connection whose life is over; another caller takes its place.
-    pub(super) fn close(&mut self, key: ConnectionKey, renewals: u32) {
-        let Some(connection) = self.pool.get(key) else {
+    /// Closes a connection whose lifetime is over; the caller connects anew.
+    pub(super) fn close_connection(&mut self, key: CallerKey, generation: u32) {
+        let Some(caller) = self.population.get(key) else {
             return;
         };
-        let Some(home) = connection.home.filter(|_| connection.renewals == renewals) else {
+        let Some(home) = caller.home.filter(|_| caller.generation == generation) else {
             return;
         };
-        if self.is_closing {
+        if self.is_finishing {
             return;
         }
         self.stations[home]
@@ -162,36 +167,37 @@
         self.reconnect(key);
     }
 
-    /// Notes what all targets report, and enters the next report.
+    /// Records the load reports of all targets and schedules the next ones.
     pub(super) fn report_loads(&mut self) {
         for station in &mut self.stations {
             if station.is_reachable() {
                 station.reported = Some(PeerLoad {
                     load: station.load(),
-                    seen: self.now.clock(),
+                    seen: self.now.to_clock(),
                 });
             }
         }
-        if !self.is_closing {
-            self.enter_in(self.setup.report_period, ModelEvent::Report);
+        if !self.is_finishing {
+            self.schedule_in(self.setup.report_period, ModelEvent::ReportLoads);
         }
     }
 
-    /// Asks all callers of a leaving target to connect elsewhere within `span`.
+    /// Moves all callers of a leaving target to new connections within `span`.
     pub(super) fn move_callers(&mut self, target: usize, span: ModelMicros) {
         for key in std::mem::take(&mut self.stations[target].connections) {
-            self.measure.moved += 1;
-            let wait = ModelMicros::new(self.random.random_range(0..=span.micros()));
-            self.enter_in(wait, ModelEvent::Reconnect(key));
+            self.metrics.moved += 1;
+            let wait = ModelMicros::new(self.rng.random_range(0..=span.micros()));
+            self.schedule_in(wait, ModelEvent::Reconnect(key));
         }
     }
 
-    /// Breaks all connections of a target; their callers notice after `notice`.
-    pub(super) fn break_callers(&mut self, target: usize, notice: ModelMicros) {
+    /// Breaks all connections of a target; callers detect it after 1 to 1.5 times
+    /// `detection_time`.
+    pub(super) fn break_connections(&mut self, target: usize, detection_time: ModelMicros) {
         for key in std::mem::take(&mut self.stations[target].connections) {
-            self.measure.broken += 1;
-            let jitter = ModelMicros::new(self.random.random_range(0..=notice.micros() / 2));
-            self.enter_in(notice.after(jitter), ModelEvent::Reconnect(key));
+            self.metrics.broken += 1;
+            let jitter = ModelMicros::new(self.rng.random_range(0..=detection_time.micros() / 2));
+            self.schedule_in(detection_time.after(jitter), ModelEvent::Reconnect(key));
         }
     }
 }
--- a/src/lab/model/event_queue.rs
+++ b/src/lab/model/event_queue.rs
@@ -1,76 +1,80 @@
 use std::{cmp::Ordering, collections::BinaryHeap};
 
-use super::{ConnectionKey, FaultKind, ModelMessage, ModelMicros, RequestKey};
+use super::{CallerKey, FaultKind, ModelMessage, ModelMicros, RequestKey};
 
-/// Something that the model does at a time.
+/// A scheduled step of the simulation.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum ModelEvent {
-    /// Some caller starts a burst of requests.
+    /// A random caller starts a burst of requests.
     Burst,
-    /// The next request of a burst, with the number that follows it.
-    BurstRequest(ConnectionKey, u32),
+    /// The next request of a burst, with the number of requests left after it.
+    BurstRequest(CallerKey, u32),
     /// A caller connects.
     Connect,
-    /// A connection ends, unless it was renewed meanwhile.
-    Close(ConnectionKey, u32),
-    /// A caller that was asked to move connects anew.
-    Reconnect(ConnectionKey),
-    /// A request leaves its slot.
+    /// A connection closes, unless the caller has a newer one than this generation.
+    Close(CallerKey, u32),
+    /// A caller opens a new connection.
+    Reconnect(CallerKey),
+    /// A request finishes and frees its slot.
     Finish {
         /// Where it ran.
         target: usize,
         /// The request.
         request: RequestKey,
-        /// The run of the target in which it began.
+        /// The epoch of the target in which it started.
         epoch: u32,
     },
     /// A message arrives.
     Deliver(ModelMessage),
-    /// A granted slot was held for long enough.
-    HoldEnds(usize, RequestKey),
-    /// A request stops waiting for probe replies.
-    ProbeEnds(RequestKey),
-    /// An idle target looks for work again.
-    StealAgain(usize),
+    /// The hold time of a granted slot is over.
+    HoldExpired(usize, RequestKey),
+    /// A request no longer waits for probe replies.
+    ProbeTimeout(RequestKey),
+    /// An idle target may try to steal a request again.
+    StealRetry(usize),
     /// All targets report their load.
-    Report,
-    /// A caller lost patience with a request.
-    PatienceEnds(RequestKey),
-    /// A target that warms up reaches full speed.
-    WarmEnds(usize),
-    /// The next candidate of a chain gets the offer of a connection.
-    OfferAgain(ConnectionKey, usize),
-    /// A resent request arrives, by its place among the resent ones.
+    ReportLoads,
+    /// A caller has waited too long for an answer.
+    CallerTimeout(RequestKey),
+    /// A warming target reaches full speed.
+    WarmUpEnded(usize),
+    /// The first packet of a connection goes to the candidate with this index.
+    NextCandidate(CallerKey, usize),
+    /// A resent request arrives; the index is into `LabModel::resends`.
     Resend(usize),
-    /// Balancers and peers learn whether a target takes part.
-    Listed(usize, bool),
-    /// Something happens to the system.
+    /// Balancers and peers learn whether a target is available.
+    ListingChanged(usize, bool),
+    /// A fault or a load change starts.
     Fault(FaultKind),
 }
 
-/// The events to come, in the order of their time and then of their entry.
+/// Pending events, ordered by time, then by insertion.
 #[derive(Debug, Default)]
 pub(crate) struct EventQueue {
     heap: BinaryHeap<QueuedEvent>,
-    entered: u64,
+    last_sequence: u64,
 }
 
 #[derive(Debug)]
 struct QueuedEvent {
     at: ModelMicros,
-    entry: u64,
+    sequence: u64,
     event: ModelEvent,
 }
 
 impl EventQueue {
     /// Adds an event.
     pub(crate) fn push(&mut self, at: ModelMicros, event: ModelEvent) {
-        self.entered += 1;
-        let entry = self.entered;
-        self.heap.push(QueuedEvent { at, entry, event });
+        self.last_sequence += 1;
+        let sequence = self.last_sequence;
+        self.heap.push(QueuedEvent {
+            at,
+            sequence,
+            event,
+        });
     }
 
-    /// Takes the next event and its time.
+    /// Removes the next event and returns it with its time.
     pub(crate) fn pop(&mut self) -> Option<(ModelMicros, ModelEvent)> {
         self.heap.pop().map(|queued| (queued.at, queued.event))
     }
@@ -78,7 +82,7 @@
 
 impl Ord for QueuedEvent {
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.entry).cmp(&(self.at, self.entry))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
@@ -90,7 +94,7 @@
 
 impl PartialEq for QueuedEvent {
     fn eq(&self, other: &Self) -> bool {
-        self.entry == other.entry
+        self.sequence == other.sequence
     }
 }
 
--- a/src/lab/model/fault_plan.rs
+++ b/src/lab/model/fault_plan.rs
@@ -2,56 +2,56 @@
 
 use super::ModelMicros;
 
-/// Something that happens to the system at a set time of a run.
+/// A fault or load change at a fixed time of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub(crate) struct FaultEntry {
-    /// When it happens.
+    /// Its start, from the start of the run.
     pub(crate) at: ModelMicros,
-    /// What happens.
+    /// The fault or load change.
     pub(crate) kind: FaultKind,
 }
 
-/// What happens to the system.
+/// A fault, a planned change of a target, or a change of the offered load.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum FaultKind {
-    /// A target goes on at a part of its speed.
+    /// A target runs at a fraction of its speed.
     Slow {
         /// The target.
         target: usize,
-        /// The part of its speed that is left.
+        /// The remaining fraction of its speed.
         speed: f64,
     },
-    /// A further target joins, cold and without connections.
+    /// A target joins, cold and without connections.
     ColdStart {
-        /// The target; it is absent before.
+        /// The target; absent until now.
         target: usize,
     },
-    /// A target leaves: it finishes what it has and asks its callers to move.
+    /// A target drains: it finishes its requests and asks its callers to reconnect elsewhere.
     Drain {
         /// The target.
         target: usize,
     },
-    /// A target is gone, with its connections and what it runs.
+    /// A target stops, losing its connections and running requests.
     Crash {
         /// The target.
         target: usize,
     },
-    /// Nothing that goes to or from a target arrives any more.
+    /// A target is partitioned: no message to or from it arrives.
     Silence {
         /// The target.
         target: usize,
     },
-    /// The rate of requests changes to this share of the usual one.
+    /// The request rate changes to a multiple of the base rate.
     Rate {
-        /// The share.
+        /// The multiple.
         factor: f64,
     },
-    /// Further callers connect, spread over a span.
+    /// More callers connect, spread over a time span.
     Callers {
-        /// How many.
+        /// The number of callers.
         count: usize,
-        /// The span.
+        /// The time span.
         over: ModelMicros,
     },
 }
--- a/src/lab/model/fault_step.rs
+++ b/src/lab/model/fault_step.rs
@@ -1,26 +1,26 @@
 use super::{
     FaultKind, LabModel, ModelEvent, ModelMicros, ModelRequest, ProbeState, RelayRule, RequestKey,
-    RequestState, RetryHabit, RunSetup, StationPhase,
+    RequestState, RetryPolicy, RunSetup, StationPhase,
 };
 use crate::agent::admission::AgentPhase;
 
 impl LabModel {
-    /// The time in which a change of a target reaches balancers and peers.
+    /// The delay until balancers and peers learn of a change of a target.
     const FEED_LAG: ModelMicros = ModelMicros::from_seconds(1);
     /// The time after which a silent target's lease expires.
-    const LEASE: ModelMicros = ModelMicros::from_seconds(5);
-    /// The time after which a caller gives up a silent connection.
+    const LEASE_TIME: ModelMicros = ModelMicros::from_seconds(5);
+    /// The time without traffic after which a caller drops a connection.
     const IDLE_TIMEOUT: ModelMicros = ModelMicros::from_seconds(10);
-    /// The time in which callers follow the request to move.
-    const MOVE_SPAN: ModelMicros = ModelMicros::from_seconds(2);
-    /// The time that a cold target needs to reach full speed.
+    /// The time within which callers of a draining target reconnect.
+    const MOVE_TIME: ModelMicros = ModelMicros::from_seconds(2);
+    /// The time that a cold target takes to reach full speed.
     const WARM_UP: ModelMicros = ModelMicros::from_seconds(30);
-    /// The speed of a cold target.
+    /// The speed of a cold target as a fraction of full speed.
     const COLD_SPEED: f64 = 0.33;
-    /// The time after which a caller resends a refused request.
+    /// The delay before a caller resends a refused request.
     const RESEND_GAP: ModelMicros = ModelMicros::from_millis(10);
 
-    /// Applies a fault.
+    /// Applies a fault or load change.
     pub(super) fn apply_fault(&mut self, kind: FaultKind) {
         match kind {
             FaultKind::Slow { target, speed } => self.stations[target].speed = speed,
@@ -33,17 +33,17 @@
     }
 
     fn start_cold(&mut self, target: usize) {
-        let since = self.now.clock();
+        let since = self.now.to_clock();
         let station = &mut self.stations[target];
         station.phase = StationPhase::Serving;
         station.gate.set_phase(AgentPhase::Warming { since });
         station.speed = Self::COLD_SPEED;
         station.reported = None;
-        self.enter_in(Self::FEED_LAG, ModelEvent::Listed(target, true));
-        self.enter_in(Self::WARM_UP, ModelEvent::WarmEnds(target));
+        self.schedule_in(Self::FEED_LAG, ModelEvent::ListingChanged(target, true));
+        self.schedule_in(Self::WARM_UP, ModelEvent::WarmUpEnded(target));
         match self.setup.relay {
-            RelayRule::CentralQueue => self.serve_central(),
-            RelayRule::Stealing => self.steal_work(target),
+            RelayRule::CentralQueue => self.serve_central_queue(),
+            RelayRule::Stealing => self.try_steal(target),
             RelayRule::Never | RelayRule::ShorterOfTwo | RelayRule::LateClaims { .. } => {}
         }
     }
@@ -52,80 +52,85 @@
         let station = &mut self.stations[target];
         station.phase = StationPhase::Leaving;
         station.gate.set_phase(AgentPhase::Leaving);
-        self.enter_in(Self::FEED_LAG, ModelEvent::Listed(target, false));
-        self.move_callers(target, Self::MOVE_SPAN);
+        self.schedule_in(Self::FEED_LAG, ModelEvent::ListingChanged(target, false));
+        self.move_callers(target, Self::MOVE_TIME);
     }
 
     fn crash_target(&mut self, target: usize, phase: StationPhase) {
         let lost = self.stations[target].stop(phase);
-        self.enter_in(Self::LEASE, ModelEvent::Listed(target, false));
-        self.break_callers(target, Self::IDLE_TIMEOUT);
+        self.schedule_in(Self::LEASE_TIME, ModelEvent::ListingChanged(target, false));
+        self.break_connections(target, Self::IDLE_TIMEOUT);
         for key in lost {
-            self.lose_request(key);
+            self.record_lost_request(key);
         }
-        self.lose_homeless(target);
+        self.count_orphaned_requests(target);
         if self.setup.relay == RelayRule::CentralQueue {
-            self.serve_central();
+            self.serve_central_queue();
         }
     }
 
-    /// Loses the requests that run at peers for callers of a lost target.
-    fn lose_homeless(&mut self, target: usize) {
-        let is_homeless = |request: &ModelRequest| {
+    /// Counts requests whose home is lost as of unknown outcome, wherever they run.
+    ///
+    /// Requests in the central queue are kept: they wait at no target.
+    fn count_orphaned_requests(&mut self, target: usize) {
+        let is_orphaned = |request: &ModelRequest| {
             let is_central = self.setup.relay == RelayRule::CentralQueue;
             request.home == target && !(is_central && request.state == RequestState::Waiting)
         };
-        let homeless = self.requests.values().filter(|it| is_homeless(it)).count();
-        self.measure.unknown += homeless as u64;
+        let orphaned = self.requests.values().filter(|it| is_orphaned(it)).count();
+        self.metrics.unknown += orphaned as u64;
     }
 
-    fn lose_request(&mut self, key: RequestKey) {
+    fn record_lost_request(&mut self, key: RequestKey) {
         if self.requests.remove(key).is_some() {
-            self.count(|measure| &mut measure.unknown);
+            self.count(|metrics| &mut metrics.unknown);
         }
     }
 
-    /// Tells whether a resent request is within the budget of its home.
+    /// Returns whether a request is a first send or within its home's retry budget.
     pub(super) fn admit_retry(&mut self, request: &ModelRequest) -> bool {
-        let now = self.now.clock();
+        let now = self.now.to_clock();
         let budget = &mut self.stations[request.home].budget;
         if request.resends == 0 {
             budget.record_request(now);
             return true;
         }
-        self.setup.retry_percent() == RunSetup::NO_BUDGET || budget.take_retry(now)
+        self.setup.retry_percent() == RunSetup::UNLIMITED_RETRIES || budget.take_retry(now)
     }
 
-    /// Lets a caller resend a request that was refused.
-    pub(super) fn resend(&mut self, mut request: ModelRequest) {
-        let RetryHabit::AtOnce { times, .. } = self.setup.retry else {
+    /// Schedules a resend, unless the caller has used up its resends.
+    pub(super) fn schedule_resend(&mut self, mut request: ModelRequest) {
+        let RetryPolicy::Immediate { max_resends, .. } = self.setup.retry else {
             return;
         };
-        if request.resends >= times {
+        if request.resends >= max_resends {
             return;
         }
         request.resends += 1;
         request.claims.clear();
         request.probe = ProbeState::default();
-        self.count(|measure| &mut measure.resent);
-        self.enter_in(Self::RESEND_GAP, ModelEvent::Resend(self.resends.len()));
+        self.count(|metrics| &mut metrics.resent);
+        self.schedule_in(Self::RESEND_GAP, ModelEvent::Resend(self.resends.len()));
         self.resends.push(request);
     }
 
-    /// Takes a resent request at the home that its caller has by now.
-    pub(super) fn arrive_again(&mut self, place: usize) {
-        let mut request = self.resends[place].clone();
+    /// Handles a resent request at the current home of its caller.
+    pub(super) fn handle_resend(&mut self, index: usize) {
+        let mut request = self.resends[index].clone();
         request.arrived = self.now;
         request.is_abandoned = false;
-        self.arrive(request);
+        self.handle_arrival(request);
     }
 
     fn cancels(&self) -> bool {
-        matches!(self.setup.retry, RetryHabit::AtOnce { cancels: true, .. })
+        matches!(
+            self.setup.retry,
+            RetryPolicy::Immediate { cancels: true, .. }
+        )
     }
 
-    /// Lets a caller resend a request that is not answered for too long.
-    pub(super) fn lose_patience(&mut self, key: RequestKey) {
+    /// Resends a request that is still unanswered after the caller's timeout.
+    pub(super) fn handle_caller_timeout(&mut self, key: RequestKey) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
@@ -133,10 +138,10 @@
         let resent = request.clone();
         if self.cancels() && resent.state == RequestState::Waiting {
             self.stations[resent.home].withdraw(key);
-            self.withdraw_claims(key, usize::MAX);
+            self.cancel_claims(key, usize::MAX);
             self.requests.remove(key);
-            self.count(|measure| &mut measure.withdrawn);
+            self.count(|metrics| &mut metrics.withdrawn);
         }
-        self.resend(resent);
+        self.schedule_resend(resent);
     }
 }
--- a/src/lab/model/mod.rs
+++ b/src/lab/model/mod.rs
@@ -1,8 +1,8 @@
-//! The seeded, event-driven model of one service.
+//! A seeded discrete-event simulation of one service.
 
 mod accept_rule;
-mod central_line;
-mod connection_pool;
+mod caller_population;
+mod central_queue;
 mod connection_step;
 mod event_queue;
 mod fault_plan;
@@ -15,9 +15,9 @@
 mod relay_rule;
 mod relay_step;
 mod request_step;
-mod run_measure;
+mod run_metrics;
 mod run_setup;
-mod system_profile;
+mod service_profile;
 mod target_station;
 
 pub(crate) use accept_rule::AcceptRule;
@@ -25,14 +25,14 @@
 pub(crate) use lab_model::LabModel;
 pub(crate) use model_micros::ModelMicros;
 pub(crate) use relay_rule::RelayRule;
-pub(crate) use run_measure::RunReport;
-pub(crate) use run_setup::{RetryHabit, RunSetup};
-pub(crate) use system_profile::{SystemProfile, WorkClass};
+pub(crate) use run_metrics::RunReport;
+pub(crate) use run_setup::{RetryPolicy, RunSetup};
+pub(crate) use service_profile::{RequestClass, ServiceProfile};
 
-use central_line::CentralLine;
-use connection_pool::{ConnectionKey, ConnectionPool};
+use caller_population::{CallerKey, CallerPopulation};
+use central_queue::CentralQueue;
 use event_queue::{EventQueue, ModelEvent};
 use model_message::{MessageKind, ModelMessage};
 use model_request::{ModelRequest, ProbeState, RequestKey, RequestState};
-use run_measure::RunMeasure;
-use target_station::{LineEntry, StationEvent, StationPhase, TargetStation};
+use run_metrics::RunMetrics;
+use target_station::{QueueEntry, StationEvent, StationPhase, TargetStation};
--- a/src/lab/model/model_message.rs
+++ b/src/lab/model/model_message.rs
@@ -1,63 +1,63 @@
-use super::{ConnectionKey, RequestKey};
+use super::{CallerKey, RequestKey};
 use crate::agent::admission::TargetLoad;
 
-/// A message between two targets' agents.
+/// A message between the agents of two targets.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ModelMessage {
-    /// The sender.
+    /// The index of the sending target.
     pub(crate) from: usize,
-    /// The receiver.
+    /// The index of the receiving target.
     pub(crate) to: usize,
-    /// What it says.
+    /// The content.
     pub(crate) kind: MessageKind,
 }
 
-/// What agents tell each other.
+/// The content of a message between agents.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum MessageKind {
-    /// A request waits at the sender and asks for a slot.
+    /// Asks for a slot for a request that waits at the sender.
     Claim(RequestKey),
-    /// A slot is held for the request.
+    /// Offers a slot held for the request.
     Grant(RequestKey),
-    /// The granted slot isn't needed.
+    /// Turns down a granted slot, which is released.
     Decline(RequestKey),
-    /// The claim isn't needed any more.
+    /// Withdraws a claim.
     Cancel(RequestKey),
-    /// The request itself, for the granted slot.
+    /// The request itself, to run in the granted slot.
     Start(RequestKey),
-    /// The slot of the request was no longer held; it did not run.
+    /// The slot was no longer held; the request did not run.
     NotHeld(RequestKey),
-    /// Asks for the length of the queue, on behalf of a request.
+    /// Asks for the queue length.
     Probe(RequestKey),
-    /// The length of the queue.
+    /// The queue length.
     ProbeReply(RequestKey, usize),
     /// The request itself, to queue at the receiver.
     Enqueue(RequestKey),
-    /// An idle agent asks for a waiting request.
+    /// Asks for a waiting request on behalf of an idle agent.
     Steal,
-    /// The request itself, for the idle agent.
-    Give(RequestKey),
-    /// A new connection, offered to a candidate of its chain.
-    Offer(ConnectionKey),
-    /// Asks a candidate for its load.
-    LoadProbe(ConnectionKey),
-    /// The load of the candidate.
-    LoadReply(ConnectionKey, TargetLoad),
+    /// The request itself, moved to the idle agent.
+    StolenRequest(RequestKey),
+    /// The first packet of a new connection, sent to one of its candidates.
+    FirstPacket(CallerKey),
+    /// Asks the next candidate for its load.
+    LoadProbe(CallerKey),
+    /// The load of the next candidate.
+    LoadReply(CallerKey, TargetLoad),
 }
 
 impl MessageKind {
-    /// Tells whether the transport resends a lost message.
+    /// Returns whether a lost message is retransmitted.
     ///
-    /// What carries a request or a connection goes over a stream or is resent
-    /// by the caller; the small ones are single datagrams.
-    pub(crate) const fn is_resent(self) -> bool {
+    /// Messages that carry a request or a connection go over a stream or are resent by the
+    /// caller; the short ones are single datagrams.
+    pub(crate) const fn is_reliable(self) -> bool {
         matches!(
             self,
             Self::Start(_)
                 | Self::Enqueue(_)
-                | Self::Give(_)
+                | Self::StolenRequest(_)
                 | Self::NotHeld(_)
-                | Self::Offer(_)
+                | Self::FirstPacket(_)
                 | Self::LoadProbe(_)
                 | Self::LoadReply(..)
         )
--- a/src/lab/model/model_request.rs
+++ b/src/lab/model/model_request.rs
@@ -1,54 +1,53 @@
 use slotmap::new_key_type;
 
-use super::{ConnectionKey, ModelMicros};
+use super::{CallerKey, ModelMicros};
 use crate::manifest::RequestPriority;
 
 new_key_type! {
-    /// Names a request of a run.
+    /// Identifies a request within a run.
     pub(crate) struct RequestKey;
 }
 
-/// One request of a caller.
+/// A request of a caller.
 #[derive(Debug, Clone)]
 pub(crate) struct ModelRequest {
-    /// The connection that brought it.
-    pub(crate) connection: ConnectionKey,
-    /// The target of that connection.
+    /// The caller that sent it.
+    pub(crate) caller: CallerKey,
+    /// The target of the caller's connection.
     pub(crate) home: usize,
-    /// Its place in the queues.
+    /// Its priority in the queues.
     pub(crate) priority: RequestPriority,
-    /// The time that it needs in a slot at full speed.
-    pub(crate) work: ModelMicros,
-    /// When it reached its home.
+    /// The time in a slot at full speed.
+    pub(crate) service_time: ModelMicros,
+    /// The time of its arrival at its home.
     pub(crate) arrived: ModelMicros,
-    /// Where it stands.
     pub(crate) state: RequestState,
-    /// The peers that hold a claim of it.
+    /// The peers with an open claim for it.
     pub(crate) claims: Vec<usize>,
-    /// The best probed queue so far, and the replies still missing.
+    /// The replies to its probes.
     pub(crate) probe: ProbeState,
-    /// How often its caller sent it again.
+    /// How often its caller has resent it.
     pub(crate) resends: u8,
-    /// Whether its caller sent it again and waits no more for this one.
+    /// Whether its caller timed out and no longer waits for it.
     pub(crate) is_abandoned: bool,
 }
 
-/// Where a request stands.
+/// Where a request is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RequestState {
-    /// It waits for a slot.
+    /// Waiting for a slot.
     Waiting,
-    /// It is on its way to a target.
+    /// On its way to this target.
     Sent(usize),
-    /// It runs at a target.
+    /// Running at this target.
     Running(usize),
 }
 
-/// The answers to the probes of a request.
+/// The replies to the probes of a request.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ProbeState {
-    /// The replies still missing.
-    pub(crate) missing: usize,
-    /// The shortest queue that answered and its length.
-    pub(crate) best: Option<(usize, usize)>,
+    /// The number of missing replies.
+    pub(crate) pending_replies: usize,
+    /// The target with the shortest queue so far, and the length.
+    pub(crate) shortest: Option<(usize, usize)>,
 }
--- a/src/lab/model/relay_rule.rs
+++ b/src/lab/model/relay_rule.rs
@@ -1,31 +1,35 @@
 use serde::Serialize;
 
-/// What a target does with a request while its own slots are full.
+/// Where a request waits while the slots of its home target are full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum RelayRule {
-    /// It waits at the target of its connection.
+    /// It waits at its home target.
     Never,
-    /// It is sent to the shorter queue of its own and two probed ones.
+    /// It is sent to the shortest of the home queue and two probed queues.
     ShorterOfTwo,
-    /// It waits at home, with claims at some peers; the first free slot runs it.
+    /// It waits at home, with claims at peers; it is bound late, to the first free slot.
     LateClaims {
-        /// The number of targets where it waits, its own included.
+        /// The number of targets where it waits, including its home.
         targets: u8,
-        /// Whether peers of its own failure domain come first.
-        near: bool,
+        /// Whether peers in the failure domain of its home are preferred.
+        #[serde(rename = "near")]
+        own_domain_first: bool,
     },
     /// It waits at home until an idle peer asks for work.
     Stealing,
-    /// One queue before all slots, reached at no cost: the bound.
+    /// It waits in one queue for all slots without message delays: the best case.
     CentralQueue,
 }
 
 impl RelayRule {
-    /// Tells whether a service with so many targets tells it from other rules.
-    pub(crate) const fn fits(self, count: usize) -> bool {
+    /// Returns whether the rule differs from the others for a service with `count` targets.
+    pub(crate) const fn is_distinct_for(self, count: usize) -> bool {
         match self {
-            Self::LateClaims { targets, near } => targets as usize <= count && (!near || count > 3),
+            Self::LateClaims {
+                targets,
+                own_domain_first,
+            } => targets as usize <= count && (!own_domain_first || count > 3),
             Self::Never | Self::ShorterOfTwo | Self::Stealing | Self::CentralQueue => true,
         }
     }
@@ -37,11 +41,11 @@
             Self::ShorterOfTwo => "shorter of two".to_owned(),
             Self::LateClaims {
                 targets,
-                near: false,
+                own_domain_first: false,
             } => format!("late-bound claims at {targets}"),
             Self::LateClaims {
                 targets,
-                near: true,
+                own_domain_first: true,
             } => {
                 format!("late-bound claims at {targets}, own domain first")
             }
--- a/src/lab/model/relay_step.rs
+++ b/src/lab/model/relay_step.rs
@@ -1,17 +1,23 @@
 use super::{
-    LabModel, LineEntry, MessageKind, ModelEvent, ModelMicros, RequestKey, RequestState,
+    LabModel, MessageKind, ModelEvent, ModelMicros, QueueEntry, RequestKey, RequestState,
     StationPhase, lab_model::domain_of,
 };
 use crate::agent::slot::SlotKey;
 
 impl LabModel {
-    /// How long a request waits for the replies to its probes.
-    const PROBE_WAIT: ModelMicros = ModelMicros::from_millis(10);
-    /// The time after which an idle target looks for work again.
-    const STEAL_WAIT: ModelMicros = ModelMicros::from_millis(5);
+    /// How long a request waits for probe replies.
+    const PROBE_TIMEOUT: ModelMicros = ModelMicros::from_millis(10);
+    /// The time between two steal attempts of an idle target.
+    const STEAL_RETRY_INTERVAL: ModelMicros = ModelMicros::from_millis(5);
 
-    /// Places claims of a request that waits at home with `count` peers.
-    pub(super) fn claim_slots(&mut self, home: usize, key: RequestKey, count: usize, near: bool) {
+    /// Sends claims for a request that waits at home to `count` peers.
+    pub(super) fn send_claims(
+        &mut self,
+        home: usize,
+        key: RequestKey,
+        count: usize,
+        own_domain_first: bool,
+    ) {
         let waits = self
             .requests
             .get(key)
@@ -20,7 +26,7 @@
             return;
         }
         let mut peers = self.draw_peers(home, usize::MAX);
-        if near {
+        if own_domain_first {
             peers.sort_by_key(|&peer| domain_of(peer) != domain_of(home));
         }
         peers.truncate(count);
@@ -30,21 +36,21 @@
         self.requests[key].claims = peers;
     }
 
-    /// Holds a slot for a peer's claim and offers it.
+    /// Holds a slot for a peer's claim and sends the grant.
     pub(super) fn grant_claim(&mut self, target: usize, key: RequestKey, slot: SlotKey) {
         let Some(request) = self.requests.get(key) else {
-            // The home's word that the request is gone is still on its way.
+            // The cancellation from the home has not arrived yet.
             self.release_unused(target, slot);
             return;
         };
         let home = request.home;
-        self.stations[target].hold(key, slot);
+        self.stations[target].hold_slot(key, slot);
         self.send(target, home, MessageKind::Grant(key));
-        self.enter_in(self.setup.hold, ModelEvent::HoldEnds(target, key));
+        self.schedule_in(self.setup.hold_time, ModelEvent::HoldExpired(target, key));
     }
 
-    /// Binds a waiting request to the peer that grants a slot.
-    pub(super) fn take_grant(&mut self, home: usize, peer: usize, key: RequestKey) {
+    /// Sends a waiting request to the peer that granted a slot, or declines the grant.
+    pub(super) fn handle_grant(&mut self, home: usize, peer: usize, key: RequestKey) {
         let waiting = self
             .requests
             .get_mut(key)
@@ -55,27 +61,27 @@
         };
         request.state = RequestState::Sent(peer);
         self.stations[home].withdraw(key);
-        self.withdraw_claims(key, peer);
+        self.cancel_claims(key, peer);
         self.send(home, peer, MessageKind::Start(key));
     }
 
-    /// Runs a bound request in the slot that was held for it.
-    pub(super) fn take_start(&mut self, target: usize, home: usize, key: RequestKey) {
-        match self.stations[target].take_hold(key) {
+    /// Runs a request in the slot held for it, if the hold has not expired.
+    pub(super) fn handle_start(&mut self, target: usize, home: usize, key: RequestKey) {
+        match self.stations[target].take_held_slot(key) {
             Some(slot) => self.start_request(target, key, slot),
             None => self.send(target, home, MessageKind::NotHeld(key)),
         }
     }
 
-    /// Frees a slot that was held for a request.
-    pub(super) fn release_hold(&mut self, target: usize, key: RequestKey) {
-        if let Some(slot) = self.stations[target].take_hold(key) {
+    /// Frees the slot held for a request, if any.
+    pub(super) fn release_held_slot(&mut self, target: usize, key: RequestKey) {
+        if let Some(slot) = self.stations[target].take_held_slot(key) {
             self.release_unused(target, slot);
         }
     }
 
-    /// Withdraws the claims of a request, except the one at `used`.
-    pub(super) fn withdraw_claims(&mut self, key: RequestKey, used: usize) {
+    /// Cancels the claims of a request, except the one at `used`.
+    pub(super) fn cancel_claims(&mut self, key: RequestKey, used: usize) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
@@ -87,62 +93,66 @@
         }
     }
 
-    /// Asks two peers for the length of their queues.
+    /// Asks two peers for their queue lengths.
     pub(super) fn probe_peers(&mut self, home: usize, key: RequestKey) {
         let peers = self.draw_peers(home, 2);
         for &peer in &peers {
             self.send(home, peer, MessageKind::Probe(key));
         }
-        self.requests[key].probe.missing = peers.len();
-        self.enter_in(Self::PROBE_WAIT, ModelEvent::ProbeEnds(key));
+        self.requests[key].probe.pending_replies = peers.len();
+        self.schedule_in(Self::PROBE_TIMEOUT, ModelEvent::ProbeTimeout(key));
     }
 
-    /// Notes the length of a probed queue.
-    pub(super) fn take_probe_reply(&mut self, peer: usize, key: RequestKey, length: usize) {
+    /// Records a probe reply; the last one ends the probe.
+    pub(super) fn handle_probe_reply(&mut self, peer: usize, key: RequestKey, length: usize) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
-        if request.probe.missing == 0 {
+        if request.probe.pending_replies == 0 {
             return;
         }
-        if request.probe.best.is_none_or(|(_, best)| length < best) {
-            request.probe.best = Some((peer, length));
+        if request
+            .probe
+            .shortest
+            .is_none_or(|(_, shortest)| length < shortest)
+        {
+            request.probe.shortest = Some((peer, length));
         }
-        if request.probe.missing == 1 {
-            self.settle_probe(key);
+        if request.probe.pending_replies == 1 {
+            self.finish_probe(key);
         } else {
-            request.probe.missing -= 1;
+            request.probe.pending_replies -= 1;
         }
     }
 
-    /// Sends a request whose probes are answered, or late, to the shortest queue.
-    pub(super) fn settle_probe(&mut self, key: RequestKey) {
+    /// Sends a request to the shortest queue, once all replies are in or the timeout is over.
+    pub(super) fn finish_probe(&mut self, key: RequestKey) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
-        if request.state != RequestState::Waiting || request.probe.missing == 0 {
+        if request.state != RequestState::Waiting || request.probe.pending_replies == 0 {
             return;
         }
-        request.probe.missing = 0;
+        request.probe.pending_replies = 0;
         let home = request.home;
         let own = self.stations[home].load().requests as usize;
-        match request.probe.best {
+        match request.probe.shortest {
             Some((target, length)) if length < own => {
                 request.state = RequestState::Sent(target);
                 self.send(home, target, MessageKind::Enqueue(key));
             }
-            _ => self.queue_here(home, key),
+            _ => self.enqueue_at(home, key),
         }
     }
 
-    /// Lets an idle target ask some peer for work.
-    pub(super) fn steal_work(&mut self, target: usize) {
+    /// Lets an idle target ask a random peer for a waiting request.
+    pub(super) fn try_steal(&mut self, target: usize) {
         let station = &self.stations[target];
         let is_idle = station.free_slots() > 0 && station.own_waiting().is_empty();
         if !is_idle || station.is_stealing || station.phase != StationPhase::Serving {
             return;
         }
-        if self.is_closing && self.requests.is_empty() {
+        if self.is_finishing && self.requests.is_empty() {
             return;
         }
         let Some(&peer) = self.draw_peers(target, 1).first() else {
@@ -150,11 +160,11 @@
         };
         self.stations[target].is_stealing = true;
         self.send(target, peer, MessageKind::Steal);
-        self.enter_in(Self::STEAL_WAIT, ModelEvent::StealAgain(target));
+        self.schedule_in(Self::STEAL_RETRY_INTERVAL, ModelEvent::StealRetry(target));
     }
 
-    /// Gives the request that is due next to a peer that asks for work.
-    pub(super) fn give_work(&mut self, target: usize, thief: usize) {
+    /// Sends the waiting request of highest priority, then longest wait, to an idle peer.
+    pub(super) fn hand_over_request(&mut self, target: usize, thief: usize) {
         let waiting = self.stations[target].own_waiting();
         let due = waiting.into_iter().min_by_key(|&key| {
             let request = &self.requests[key];
@@ -163,12 +173,12 @@
         if let Some(key) = due {
             self.stations[target].withdraw(key);
             self.requests[key].state = RequestState::Sent(thief);
-            self.send(target, thief, MessageKind::Give(key));
+            self.send(target, thief, MessageKind::StolenRequest(key));
         }
     }
 
-    /// Takes a claim of a peer's request.
-    pub(super) fn take_claim(&mut self, target: usize, key: RequestKey) {
-        self.ask_slot(target, LineEntry::Claim(key));
+    /// Queues a peer's claim for a slot.
+    pub(super) fn handle_claim(&mut self, target: usize, key: RequestKey) {
+        self.request_slot(target, QueueEntry::Claim(key));
     }
 }
--- a/src/lab/model/request_step.rs
+++ b/src/lab/model/request_step.rs
@@ -1,69 +1,71 @@
 use rand::Rng;
 
 use super::{
-    ConnectionKey, LabModel, LineEntry, ModelEvent, ModelMicros, ModelRequest, ProbeState,
-    RelayRule, RequestKey, RequestState, RetryHabit, RunMeasure, RunSetup, StationEvent,
-    StationPhase, SystemProfile,
+    CallerKey, LabModel, ModelEvent, ModelMicros, ModelRequest, ProbeState, QueueEntry, RelayRule,
+    RequestKey, RequestState, RetryPolicy, RunMetrics, RunSetup, ServiceProfile, StationEvent,
+    StationPhase,
 };
 use crate::agent::slot::{SlotKey, SlotRequest};
 
 impl LabModel {
-    /// The time after which a caller looks again whether it is connected.
-    const CONNECT_WAIT: ModelMicros = ModelMicros::from_millis(1);
+    /// How often a connecting caller checks whether it is connected.
+    const CONNECT_POLL: ModelMicros = ModelMicros::from_millis(1);
 
-    /// Starts a burst at some caller and enters the next one.
+    /// Starts a burst at a random caller and schedules the next burst.
     pub(super) fn start_burst(&mut self) {
-        if self.measure.arrived >= self.setup.requests {
-            self.is_closing = true;
+        if self.metrics.arrived >= self.setup.requests {
+            self.is_finishing = true;
             return;
         }
-        if let Some(key) = self.pool.draw(&mut self.arrivals) {
-            let left = self.arrivals.random_range(0..Self::BURST_REQUESTS * 2 - 1);
+        if let Some(key) = self.population.draw(&mut self.arrival_rng) {
+            let left = self
+                .arrival_rng
+                .random_range(0..Self::BURST_REQUESTS * 2 - 1);
             self.burst_request(key, left);
         }
-        let slots = (self.setup.system.targets() * SystemProfile::SLOTS) as f64;
-        let load = f64::from(self.setup.load_percent) / 100.0 * self.rate;
-        let work = self.setup.mean_work();
-        let gap = work.scaled(f64::from(Self::BURST_REQUESTS) / (slots * load));
+        let slots = (self.setup.service.targets() * ServiceProfile::SLOTS) as f64;
+        let load = f64::from(self.setup.load_percent) / 100.0 * self.rate_factor;
+        let service_time = self.setup.mean_service_time();
+        let gap = service_time.scaled(f64::from(Self::BURST_REQUESTS) / (slots * load));
         let gap = self.draw_exponential(gap);
-        self.enter_in(gap, ModelEvent::Burst);
+        self.schedule_in(gap, ModelEvent::Burst);
     }
 
-    /// Brings one request of a burst and enters the next one.
+    /// Sends one request of a burst and schedules the next one.
     ///
-    /// A caller that is still connecting sends a little later.
-    pub(super) fn burst_request(&mut self, key: ConnectionKey, left: u32) {
-        if self.pool.get(key).is_some_and(|it| it.home.is_none()) {
-            self.enter_in(Self::CONNECT_WAIT, ModelEvent::BurstRequest(key, left));
+    /// A caller that is still connecting tries again after `CONNECT_POLL`.
+    pub(super) fn burst_request(&mut self, key: CallerKey, left: u32) {
+        if self.population.get(key).is_some_and(|it| it.home.is_none()) {
+            self.schedule_in(Self::CONNECT_POLL, ModelEvent::BurstRequest(key, left));
             return;
         }
         if left > 0 {
             let gap = self.draw_exponential(Self::BURST_GAP);
-            self.enter_in(gap, ModelEvent::BurstRequest(key, left - 1));
+            self.schedule_in(gap, ModelEvent::BurstRequest(key, left - 1));
         }
         if self.is_measuring() {
-            self.measure.arrived += 1;
+            self.metrics.arrived += 1;
         }
         let request = self.draw_request(key);
-        self.arrive(request);
+        self.handle_arrival(request);
     }
 
-    fn draw_request(&mut self, connection: ConnectionKey) -> ModelRequest {
-        let mut ticket = self.arrivals.random_range(0..100);
+    fn draw_request(&mut self, caller: CallerKey) -> ModelRequest {
+        let mut roll = self.arrival_rng.random_range(0..100);
         let classes = self.setup.classes();
-        let mut drawn = classes[0];
+        let mut selected = classes[0];
         for class in classes {
-            drawn = class;
-            if ticket < class.percent {
+            selected = class;
+            if roll < class.percent {
                 break;
             }
-            ticket -= class.percent;
+            roll -= class.percent;
         }
         ModelRequest {
-            connection,
+            caller,
             home: usize::MAX,
-            priority: drawn.priority,
-            work: self.draw_exponential(drawn.mean_work),
+            priority: selected.priority,
+            service_time: self.draw_exponential(selected.mean_service_time),
             arrived: self.now,
             state: RequestState::Waiting,
             claims: Vec::new(),
@@ -73,91 +75,95 @@
         }
     }
 
-    /// Takes a request at the home of its connection.
-    pub(super) fn arrive(&mut self, mut request: ModelRequest) {
-        let home = self.pool.get(request.connection).and_then(|it| it.home);
+    /// Handles a request at the home target of its caller.
+    pub(super) fn handle_arrival(&mut self, mut request: ModelRequest) {
+        let home = self.population.get(request.caller).and_then(|it| it.home);
         let Some(home) = home.filter(|&home| self.stations[home].is_reachable()) else {
-            self.count(|measure| &mut measure.unknown);
+            self.count(|metrics| &mut metrics.unknown);
             return;
         };
         request.home = home;
         request.state = RequestState::Waiting;
         if !self.admit_retry(&request) {
-            self.count(|measure| &mut measure.refused);
+            self.count(|metrics| &mut metrics.refused);
             return;
         }
         let key = self.requests.insert(request);
-        if let RetryHabit::AtOnce { patience, .. } = self.setup.retry {
-            self.enter_in(patience, ModelEvent::PatienceEnds(key));
+        if let RetryPolicy::Immediate { caller_timeout, .. } = self.setup.retry {
+            self.schedule_in(caller_timeout, ModelEvent::CallerTimeout(key));
         }
         match self.setup.relay {
-            RelayRule::CentralQueue => self.wait_centrally(key),
+            RelayRule::CentralQueue => self.enqueue_centrally(key),
             RelayRule::ShorterOfTwo if self.stations[home].free_slots() == 0 => {
                 self.probe_peers(home, key);
             }
-            RelayRule::LateClaims { targets, near } => {
-                self.queue_here(home, key);
-                self.claim_slots(home, key, usize::from(targets) - 1, near);
+            RelayRule::LateClaims {
+                targets,
+                own_domain_first,
+            } => {
+                self.enqueue_at(home, key);
+                self.send_claims(home, key, usize::from(targets) - 1, own_domain_first);
             }
             RelayRule::ShorterOfTwo | RelayRule::Never | RelayRule::Stealing => {
-                self.queue_here(home, key);
+                self.enqueue_at(home, key);
             }
         }
     }
 
-    /// Queues a request at a target that has it.
-    pub(super) fn queue_here(&mut self, target: usize, key: RequestKey) {
+    /// Queues a request at a target.
+    pub(super) fn enqueue_at(&mut self, target: usize, key: RequestKey) {
         if let Some(request) = self.requests.get_mut(key) {
             request.state = RequestState::Waiting;
-            self.ask_slot(target, LineEntry::Own(key));
+            self.request_slot(target, QueueEntry::Own(key));
         }
     }
 
-    /// Asks a target's queue for a slot, for a request or a claim.
-    pub(super) fn ask_slot(&mut self, target: usize, entry: LineEntry) {
+    /// Requests a slot of a target, for a request or a claim.
+    pub(super) fn request_slot(&mut self, target: usize, entry: QueueEntry) {
         let Some(request) = self.requests.get(entry.request()) else {
             return;
         };
-        let wish = SlotRequest {
+        let slot_request = SlotRequest {
             priority: request.priority,
-            deadline: request.arrived.after(self.setup.deadline()).clock(),
+            deadline: request.arrived.after(self.setup.deadline()).to_clock(),
             origin: entry.origin(),
         };
-        let now = self.now.clock();
-        let events = self.stations[target].ask(entry, wish, now);
-        self.follow_events(target, events);
+        let now = self.now.to_clock();
+        let events = self.stations[target].request_slot(entry, slot_request, now);
+        self.apply_station_events(target, events);
     }
 
-    /// Carries out what a target's queue decided.
-    pub(super) fn follow_events(&mut self, target: usize, events: Vec<StationEvent>) {
+    /// Applies the decisions of a target's queue.
+    pub(super) fn apply_station_events(&mut self, target: usize, events: Vec<StationEvent>) {
         for event in events {
             match event {
-                StationEvent::Slot(LineEntry::Own(key), slot) => {
+                StationEvent::Slot(QueueEntry::Own(key), slot) => {
                     self.start_request(target, key, slot);
                 }
-                StationEvent::Slot(LineEntry::Claim(key), slot) => {
+                StationEvent::Slot(QueueEntry::Claim(key), slot) => {
                     self.grant_claim(target, key, slot);
                 }
-                StationEvent::Refused(LineEntry::Own(key)) => self.refuse_request(key),
-                StationEvent::Refused(LineEntry::Claim(_)) => {}
+                StationEvent::Refused(QueueEntry::Own(key)) => self.refuse_request(key),
+                StationEvent::Refused(QueueEntry::Claim(_)) => {}
             }
         }
     }
 
-    /// Runs a request in a slot of a target.
+    /// Runs a request in a slot, or frees the slot if the request is gone.
     pub(super) fn start_request(&mut self, target: usize, key: RequestKey, slot: SlotKey) {
         let Some(request) = self.requests.get_mut(key) else {
             self.release_unused(target, slot);
             return;
         };
         request.state = RequestState::Running(target);
-        let (priority, work, arrived) = (request.priority, request.work, request.arrived);
-        self.withdraw_claims(key, target);
+        let (priority, service_time, arrived) =
+            (request.priority, request.service_time, request.arrived);
+        self.cancel_claims(key, target);
         if arrived >= self.setup.warm_up {
             let wait = self.now.since(arrived);
-            self.measure.record_wait(priority, wait);
+            self.metrics.record_wait(priority, wait);
             if self.setup.settled_at().is_some_and(|at| arrived >= at) {
-                self.measure.record_settled(wait);
+                self.metrics.record_settled_wait(wait);
             }
         }
         let station = &mut self.stations[target];
@@ -167,11 +173,11 @@
             request: key,
             epoch: station.epoch,
         };
-        let span = work.scaled(1.0 / station.speed);
-        self.enter_in(span, finish);
+        let span = service_time.scaled(1.0 / station.speed);
+        self.schedule_in(span, finish);
     }
 
-    /// Ends a request at a target; its slot goes to what waits there.
+    /// Ends a request and releases its slot, unless the target has stopped since the start.
     pub(super) fn finish_request(&mut self, target: usize, key: RequestKey, epoch: u32) {
         if self.stations[target].epoch != epoch {
             return;
@@ -180,67 +186,67 @@
             return;
         };
         let span = self.now.since(began.max(self.setup.warm_up));
-        self.measure.record_busy(target, span);
+        self.metrics.record_busy(target, span);
         if let Some(request) = self.requests.remove(key)
             && request.is_abandoned
         {
-            self.measure.wasted = self.measure.wasted.after(span);
+            self.metrics.wasted = self.metrics.wasted.after(span);
         }
         self.release_slot(target, slot);
     }
 
-    /// Gives a slot back to the queue of its target.
+    /// Releases a slot after a run.
     pub(super) fn release_slot(&mut self, target: usize, slot: SlotKey) {
-        let now = self.now.clock();
+        let now = self.now.to_clock();
         let events = self.stations[target].release(slot, now);
-        self.follow_events(target, events);
+        self.apply_station_events(target, events);
         self.after_release(target);
     }
 
-    /// Gives a slot back on which nothing ran.
+    /// Releases a slot in which nothing ran.
     pub(super) fn release_unused(&mut self, target: usize, slot: SlotKey) {
-        let now = self.now.clock();
+        let now = self.now.to_clock();
         let events = self.stations[target].release_unused(slot, now);
-        self.follow_events(target, events);
+        self.apply_station_events(target, events);
         self.after_release(target);
     }
 
     fn after_release(&mut self, target: usize) {
         match self.setup.relay {
-            RelayRule::CentralQueue => self.serve_central(),
-            RelayRule::Stealing => self.steal_work(target),
+            RelayRule::CentralQueue => self.serve_central_queue(),
+            RelayRule::Stealing => self.try_steal(target),
             RelayRule::Never | RelayRule::ShorterOfTwo | RelayRule::LateClaims { .. } => {}
         }
     }
 
-    /// Answers that a request did not run.
+    /// Refuses a request; its caller may resend it.
     pub(super) fn refuse_request(&mut self, key: RequestKey) {
-        self.withdraw_claims(key, usize::MAX);
+        self.cancel_claims(key, usize::MAX);
         if let Some(request) = self.requests.remove(key) {
             if request.arrived == self.now {
-                self.count(|measure| &mut measure.refused);
+                self.count(|metrics| &mut metrics.refused);
             } else {
-                self.count(|measure| &mut measure.expired);
+                self.count(|metrics| &mut metrics.expired);
             }
             if !request.is_abandoned {
-                self.resend(request);
+                self.schedule_resend(request);
             }
         }
     }
 
-    fn wait_centrally(&mut self, key: RequestKey) {
-        let limit = usize::from(RunSetup::QUEUE) * self.setup.system.targets();
-        if self.central.len() >= limit {
+    fn enqueue_centrally(&mut self, key: RequestKey) {
+        let limit = usize::from(RunSetup::QUEUE_LIMIT) * self.setup.service.targets();
+        if self.central_queue.len() >= limit {
             self.refuse_request(key);
             return;
         }
         let priority = self.requests[key].priority;
-        self.central.push(priority, key);
-        self.serve_central();
+        self.central_queue.push(priority, key);
+        self.serve_central_queue();
     }
 
-    /// Starts the requests of the central queue wherever a slot is free.
-    pub(super) fn serve_central(&mut self) {
+    /// Assigns requests of the central queue to free slots, at the target with the most first.
+    pub(super) fn serve_central_queue(&mut self) {
         loop {
             let free = (0..self.stations.len())
                 .filter(|&target| self.stations[target].phase == StationPhase::Serving)
@@ -248,7 +254,7 @@
             let Some(target) = free.filter(|&target| self.stations[target].free_slots() > 0) else {
                 return;
             };
-            let Some(key) = self.central.pop() else {
+            let Some(key) = self.central_queue.pop() else {
                 return;
             };
             let Some(request) = self.requests.get(key) else {
@@ -257,15 +263,15 @@
             if self.now.since(request.arrived) > self.setup.deadline() {
                 self.refuse_request(key);
             } else {
-                self.ask_slot(target, LineEntry::Own(key));
+                self.request_slot(target, QueueEntry::Own(key));
             }
         }
     }
 
-    /// Adds one to a count, once the measures count.
-    pub(super) fn count(&mut self, pick: impl FnOnce(&mut RunMeasure) -> &mut u64) {
+    /// Increments a counter, once the warm-up is over.
+    pub(super) fn count(&mut self, pick: impl FnOnce(&mut RunMetrics) -> &mut u64) {
         if self.is_measuring() {
-            *pick(&mut self.measure) += 1;
+            *pick(&mut self.metrics) += 1;
         }
     }
 }
--- a/src/lab/model/run_measure.rs
+++ b/src/lab/model/run_metrics.rs
@@ -4,45 +4,45 @@
 use super::{ModelMicros, RunSetup};
 use crate::manifest::RequestPriority;
 
-/// What a run counts while it goes on.
+/// The counters and histograms of a run.
 #[derive(Debug)]
-pub(crate) struct RunMeasure {
-    /// The waits of all measured requests, in microseconds.
+pub(crate) struct RunMetrics {
+    /// The waits of all requests after the warm-up, in microseconds.
     waits: Histogram<u64>,
-    /// The waits of those that arrive once the last fault should be over.
+    /// The waits of requests that arrived after the settling time of the last fault.
     settled_waits: Histogram<u64>,
-    /// The waits of the urgent ones.
+    /// The waits of urgent requests.
     urgent_waits: Histogram<u64>,
-    /// The time for which each target's slots were busy.
+    /// The slot time used at each target.
     pub(crate) busy: Vec<ModelMicros>,
     /// Requests that arrived.
     pub(crate) arrived: u64,
-    /// Requests that were refused at once; they did not run.
+    /// Requests refused on arrival; they did not run.
     pub(crate) refused: u64,
-    /// Requests whose deadline passed while they waited; they did not run.
+    /// Requests refused after a wait, mostly past their deadline; they did not run.
     pub(crate) expired: u64,
     /// Requests that their callers withdrew while they waited.
     pub(crate) withdrawn: u64,
-    /// Requests whose outcome their caller can't know.
+    /// Requests of unknown outcome: they may have run.
     pub(crate) unknown: u64,
     /// Sends of a request beyond the first.
     pub(crate) resent: u64,
-    /// Slot time spent on requests that were resent meanwhile.
+    /// Slot time of requests whose caller had already timed out.
     pub(crate) wasted: ModelMicros,
     /// Connections that broke.
     pub(crate) broken: u64,
-    /// Connections that moved because they were asked to.
+    /// Connections moved away from a draining target.
     pub(crate) moved: u64,
-    /// Offers of a connection beyond the first.
-    pub(crate) passed: u64,
+    /// First packets sent to a candidate after the first one.
+    pub(crate) passed_on: u64,
     /// Messages between agents about requests.
     pub(crate) messages: u64,
 }
 
-/// The figures of a run.
+/// The results of a run, or their means over several seeds.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct RunReport {
-    /// The setup that gave them.
+    /// The setup of the run.
     pub(crate) setup: RunSetup,
     /// Requests that arrived.
     pub(crate) arrived: u64,
@@ -50,46 +50,47 @@
     pub(crate) wait_p50_millis: f64,
     /// The wait at the 99th percentile, in milliseconds.
     pub(crate) wait_p99_millis: f64,
-    /// The same of requests that arrive a minute or more after the last fault.
+    /// The same for requests that arrived a minute or more after the last fault.
     pub(crate) settled_p99_millis: f64,
-    /// The same of urgent requests.
+    /// The same for urgent requests.
     pub(crate) urgent_p99_millis: f64,
-    /// The busiest target's slot time over the mean.
+    /// The slot time of the busiest target, relative to the mean.
     pub(crate) busiest_to_mean: f64,
-    /// The largest number of connections at a target over the mean.
+    /// The largest number of connections at a target, relative to the mean.
     pub(crate) connections_to_mean: f64,
-    /// Refused requests.
+    /// Requests refused on arrival.
     pub(crate) refused: u64,
-    /// Requests that expired.
+    /// Requests refused after a wait.
     pub(crate) expired: u64,
-    /// Requests that were withdrawn while they waited.
+    /// Requests withdrawn by their callers while they waited.
     pub(crate) withdrawn: u64,
     /// Requests of unknown outcome.
     pub(crate) unknown: u64,
-    /// Requests sent again.
+    /// Sends of a request beyond the first.
     pub(crate) resent: u64,
-    /// The share of slot time spent on requests that were resent meanwhile.
+    /// The fraction of slot time of requests whose caller had already timed out.
     pub(crate) wasted_share: f64,
-    /// Broken connections.
+    /// Connections that broke.
     pub(crate) broken: u64,
-    /// Connections that moved on request.
+    /// Connections moved away from a draining target.
     pub(crate) moved: u64,
-    /// Offers beyond the first, per connection.
-    pub(crate) passed: u64,
-    /// Messages between agents for each request.
+    /// First packets sent to a candidate after the first one.
+    #[serde(rename = "passed")]
+    pub(crate) passed_on: u64,
+    /// Messages between agents per request.
     pub(crate) messages_per_request: f64,
 }
 
-impl RunMeasure {
-    /// The longest wait that the histograms tell apart.
-    const LONGEST: u64 = 600_000_000;
-    /// The precise digits of the histograms.
-    const DIGITS: u8 = 3;
+impl RunMetrics {
+    /// The largest wait that the histograms record.
+    const MAX_WAIT_MICROS: u64 = 600_000_000;
+    /// The significant decimal digits of the histograms.
+    const SIGNIFICANT_DIGITS: u8 = 3;
 
-    /// Creates empty counts for `targets`.
+    /// Creates empty metrics for `targets` targets.
     pub(crate) fn new(targets: usize) -> Self {
         let histogram = || {
-            Histogram::new_with_max(Self::LONGEST, Self::DIGITS)
+            Histogram::new_with_max(Self::MAX_WAIT_MICROS, Self::SIGNIFICANT_DIGITS)
                 .expect("the bounds of the histogram are constants")
         };
         Self {
@@ -106,12 +107,12 @@
             wasted: ModelMicros::ZERO,
             broken: 0,
             moved: 0,
-            passed: 0,
+            passed_on: 0,
             messages: 0,
         }
     }
 
-    /// Counts the wait of a request that starts now.
+    /// Records the wait of a request that starts now.
     pub(crate) fn record_wait(&mut self, priority: RequestPriority, wait: ModelMicros) {
         self.waits.saturating_record(wait.micros());
         if priority == RequestPriority::Urgent {
@@ -119,17 +120,17 @@
         }
     }
 
-    /// Counts the wait of a request that arrived after the faults.
-    pub(crate) fn record_settled(&mut self, wait: ModelMicros) {
+    /// Records the wait of a request that arrived after the faults.
+    pub(crate) fn record_settled_wait(&mut self, wait: ModelMicros) {
         self.settled_waits.saturating_record(wait.micros());
     }
 
-    /// Counts the slot time of a request at a target.
+    /// Adds the slot time of a request at a target.
     pub(crate) fn record_busy(&mut self, target: usize, span: ModelMicros) {
         self.busy[target] = self.busy[target].after(span);
     }
 
-    /// Sums up; `members` are the targets that take part at the end, each with
+    /// Computes the results; `members` are the targets that serve at the end, each with
     /// its number of connections.
     pub(crate) fn report(&self, setup: &RunSetup, members: &[(usize, usize)]) -> RunReport {
         let busy: Vec<f64> = members
@@ -156,14 +157,14 @@
             wasted_share: self.wasted.as_millis() / total.max(1.0),
             broken: self.broken,
             moved: self.moved,
-            passed: self.passed,
+            passed_on: self.passed_on,
             messages_per_request: self.messages as f64 / self.arrived.max(1) as f64,
         }
     }
 }
 
 impl RunReport {
-    /// Returns the means of several runs of one setup; counts are added up.
+    /// Combines several runs of one setup: counters are summed, other values averaged.
     pub(crate) fn mean_of(setup: &RunSetup, reports: &[Self]) -> Self {
         let mean = |pick: fn(&Self) -> f64| {
             reports.iter().map(pick).sum::<f64>() / reports.len().max(1) as f64
@@ -186,7 +187,7 @@
             wasted_share: mean(|it| it.wasted_share),
             broken: sum(|it| it.broken),
             moved: sum(|it| it.moved),
-            passed: sum(|it| it.passed),
+            passed_on: sum(|it| it.passed_on),
             messages_per_request: mean(|it| it.messages_per_request),
         }
     }
--- a/src/lab/model/run_setup.rs
+++ b/src/lab/model/run_setup.rs
@@ -1,124 +1,133 @@
 use serde::Serialize;
 
-use super::{AcceptRule, FaultEntry, FaultKind, ModelMicros, RelayRule, SystemProfile, WorkClass};
+use super::{
+    AcceptRule, FaultEntry, FaultKind, ModelMicros, RelayRule, RequestClass, ServiceProfile,
+};
 use crate::agent::slot::SlotLimits;
 
-/// Everything that decides a run; the same setup gives the same figures.
+/// The input of a run; the same setup gives the same results.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct RunSetup {
-    /// The seed of every draw.
+    /// The seed of both random generators.
     pub(crate) seed: u64,
-    /// The modelled service.
-    pub(crate) system: SystemProfile,
-    /// How connections find their target.
+    /// The simulated service.
+    #[serde(rename = "system")]
+    pub(crate) service: ServiceProfile,
+    /// How the target of a new connection is chosen.
     pub(crate) accept: AcceptRule,
-    /// Where requests wait.
+    /// Where requests wait for a slot.
     pub(crate) relay: RelayRule,
-    /// The offered work in percent of all slots.
+    /// The offered load in percent of all slots.
     pub(crate) load_percent: u32,
-    /// The callers that are connected at the usual rate.
+    /// The number of callers that connect during the warm-up.
     pub(crate) callers: usize,
-    /// The time of a message between failure domains.
+    /// The shortest delay of a message between failure domains.
     pub(crate) domain_delay: ModelMicros,
-    /// The messages lost in a thousand.
+    /// Lost messages per thousand.
     pub(crate) lost_per_mille: u32,
     /// How long a slot is held for a granted claim.
-    pub(crate) hold: ModelMicros,
+    #[serde(rename = "hold")]
+    pub(crate) hold_time: ModelMicros,
     /// The time between two load reports of a target.
     pub(crate) report_period: ModelMicros,
-    /// The time before the measures count.
+    /// The time before requests are counted.
     pub(crate) warm_up: ModelMicros,
-    /// The requests that are measured.
+    /// The number of requests after the warm-up.
     pub(crate) requests: u64,
-    /// Targets that exist in the model but join only by a cold start.
-    pub(crate) absent: usize,
-    /// The mean work of bulk requests, if not the usual one.
-    pub(crate) bulk_work: Option<ModelMicros>,
-    /// The slots of a target that bulk requests leave free.
+    /// Additional targets that join only through `FaultKind::ColdStart`.
+    #[serde(rename = "absent")]
+    pub(crate) absent_targets: usize,
+    /// The mean service time of bulk requests, if not the profile's.
+    #[serde(rename = "bulk_work")]
+    pub(crate) bulk_service_time: Option<ModelMicros>,
+    /// The slots of each target that bulk requests leave free.
     pub(crate) reserve: u16,
-    /// What happens during the run.
+    /// The faults and load changes of the run.
     pub(crate) faults: Vec<FaultEntry>,
-    /// What callers and agents do about refusals.
-    pub(crate) retry: RetryHabit,
+    /// How callers and agents handle retries.
+    pub(crate) retry: RetryPolicy,
 }
 
-/// What callers do after a refusal or a wait that is too long.
+/// What callers do after a refusal or a timeout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum RetryHabit {
-    /// They give up.
+pub(crate) enum RetryPolicy {
+    /// They never resend.
     Never,
-    /// They resend at once, up to a number of times.
-    AtOnce {
-        /// How often one request is resent.
-        times: u8,
+    /// They resend without backoff, up to a number of times.
+    #[serde(rename = "at_once")]
+    Immediate {
+        /// The most resends of a request.
+        #[serde(rename = "times")]
+        max_resends: u8,
         /// How long a caller waits for an answer before it resends.
-        patience: ModelMicros,
-        /// Retries admitted per hundred first sends; none for any number.
+        #[serde(rename = "patience")]
+        caller_timeout: ModelMicros,
+        /// Retries admitted per hundred first sends; unlimited if absent.
         budget_percent: Option<u8>,
-        /// Whether a caller that resends withdraws what it sent before.
+        /// Whether a caller that resends cancels the earlier request if that still waits.
         cancels: bool,
-        /// Whether a request tells for how long its caller waits.
-        tells_deadline: bool,
+        /// Whether the request's deadline is the caller's timeout.
+        #[serde(rename = "tells_deadline")]
+        sends_deadline: bool,
     },
 }
 
 impl RunSetup {
-    /// The callers that each target has on average.
+    /// The mean number of callers per target.
     const CALLERS_PER_TARGET: usize = 200;
-    /// Requests that wait at one target at most.
-    pub(crate) const QUEUE: u16 = 64;
-    /// The time after the last fault in which the system should settle.
-    const SETTLE: ModelMicros = ModelMicros::from_seconds(60);
-    /// The share of retries that stands for no limit.
-    pub(crate) const NO_BUDGET: u8 = u8::MAX;
-    /// The deadline of a request that brings none.
-    const DEADLINE: ModelMicros = ModelMicros::from_seconds(10);
-    /// The requests that a run measures.
-    const REQUESTS: u64 = 200_000;
-
-    /// Sets up a steady run of `system` with the rules that it is to try.
-    pub(crate) fn new(system: SystemProfile, accept: AcceptRule, relay: RelayRule) -> Self {
+    /// The most requests that wait at one target.
+    pub(crate) const QUEUE_LIMIT: u16 = 64;
+    /// The time after the last fault until the service should have recovered.
+    const SETTLE_TIME: ModelMicros = ModelMicros::from_seconds(60);
+    /// The retry percentage that stands for no limit.
+    pub(crate) const UNLIMITED_RETRIES: u8 = u8::MAX;
+    /// The deadline of a request that carries none, from its arrival.
+    const DEFAULT_DEADLINE: ModelMicros = ModelMicros::from_seconds(10);
+    /// The default number of requests after the warm-up.
+    const DEFAULT_REQUESTS: u64 = 200_000;
+
+    /// Creates a run of `service` at 80% load without faults, under the given rules.
+    pub(crate) fn new(service: ServiceProfile, accept: AcceptRule, relay: RelayRule) -> Self {
         Self {
             seed: 1,
-            system,
+            service,
             accept,
             relay,
             load_percent: 80,
-            callers: Self::CALLERS_PER_TARGET * system.targets(),
-            domain_delay: system.domain_delay(),
+            callers: Self::CALLERS_PER_TARGET * service.targets(),
+            domain_delay: service.domain_delay(),
             lost_per_mille: 0,
-            hold: ModelMicros::from_millis(20),
+            hold_time: ModelMicros::from_millis(20),
             report_period: ModelMicros::from_seconds(1),
             warm_up: ModelMicros::from_seconds(30),
-            requests: Self::REQUESTS,
-            absent: 0,
-            bulk_work: None,
-            reserve: system.reserve(),
+            requests: Self::DEFAULT_REQUESTS,
+            absent_targets: 0,
+            bulk_service_time: None,
+            reserve: service.reserve(),
             faults: Vec::new(),
-            retry: RetryHabit::Never,
+            retry: RetryPolicy::Never,
         }
     }
 
-    /// Sets the seed.
     pub(crate) fn with_seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// Sets the offered work in percent of all slots.
+    /// Sets the offered load in percent of all slots.
     pub(crate) fn with_load(mut self, percent: u32) -> Self {
         self.load_percent = percent;
         self
     }
 
-    /// Sets the time of a message between failure domains.
+    /// Sets the shortest delay of a message between failure domains.
     pub(crate) fn with_delay(mut self, delay: ModelMicros) -> Self {
         self.domain_delay = delay;
         self
     }
 
-    /// Sets the share of lost messages.
+    /// Sets the number of lost messages per thousand.
     pub(crate) fn with_loss(mut self, per_mille: u32) -> Self {
         self.lost_per_mille = per_mille;
         self
@@ -126,7 +135,7 @@
 
     /// Sets how long a slot is held for a granted claim.
     pub(crate) fn with_hold(mut self, hold: ModelMicros) -> Self {
-        self.hold = hold;
+        self.hold_time = hold;
         self
     }
 
@@ -136,101 +145,102 @@
         self
     }
 
-    /// Sets the number of measured requests.
+    /// Sets the number of requests after the warm-up.
     pub(crate) fn with_requests(mut self, requests: u64) -> Self {
         self.requests = requests;
         self
     }
 
-    /// Adds a fault at a time after the warm-up.
+    /// Adds a fault; `at` counts from the end of the warm-up.
     pub(crate) fn with_fault(mut self, at: ModelMicros, kind: FaultKind) -> Self {
         let at = self.warm_up.after(at);
         self.faults.push(FaultEntry { at, kind });
         self
     }
 
-    /// Lets `count` further targets be absent until they start.
-    pub(crate) fn with_absent(mut self, count: usize) -> Self {
-        self.absent = count;
+    /// Adds `count` targets that are absent until a cold start.
+    pub(crate) fn with_absent_targets(mut self, count: usize) -> Self {
+        self.absent_targets = count;
         self
     }
 
-    /// Sets what callers do after a refusal.
-    pub(crate) fn with_retry(mut self, habit: RetryHabit) -> Self {
+    /// Sets what callers do after a refusal or a timeout.
+    pub(crate) fn with_retry(mut self, habit: RetryPolicy) -> Self {
         self.retry = habit;
         self
     }
 
-    /// Sets the slots of a target that bulk requests leave free.
+    /// Sets the slots of each target that bulk requests leave free.
     pub(crate) fn with_reserve(mut self, reserve: u16) -> Self {
         self.reserve = reserve;
         self
     }
 
-    /// Sets the mean work of bulk requests.
-    pub(crate) fn with_bulk_work(mut self, work: ModelMicros) -> Self {
-        self.bulk_work = Some(work);
+    /// Sets the mean service time of bulk requests.
+    pub(crate) fn with_bulk_service_time(mut self, service_time: ModelMicros) -> Self {
+        self.bulk_service_time = Some(service_time);
         self
     }
 
-    /// Returns the kinds of request.
-    pub(crate) fn classes(&self) -> [WorkClass; 3] {
-        let mut classes = self.system.classes();
-        if let Some(work) = self.bulk_work {
-            classes[2].mean_work = work;
+    /// Returns the request classes.
+    pub(crate) fn classes(&self) -> [RequestClass; 3] {
+        let mut classes = self.service.classes();
+        if let Some(service_time) = self.bulk_service_time {
+            classes[2].mean_service_time = service_time;
         }
         classes
     }
 
-    /// Returns the mean time in a slot over all kinds.
-    pub(crate) fn mean_work(&self) -> ModelMicros {
+    /// Returns the mean service time over all classes.
+    pub(crate) fn mean_service_time(&self) -> ModelMicros {
         let classes = self.classes();
-        let weighed = |class: &WorkClass| u64::from(class.percent) * class.mean_work.micros();
-        let micros: u64 = classes.iter().map(weighed).sum();
+        let weighted =
+            |class: &RequestClass| u64::from(class.percent) * class.mean_service_time.micros();
+        let micros: u64 = classes.iter().map(weighted).sum();
         ModelMicros::new(micros / 100)
     }
 
-    /// Returns when the last fault should be over, if there are faults.
+    /// Returns when the service should have recovered from the last fault, if there are faults.
     pub(crate) fn settled_at(&self) -> Option<ModelMicros> {
         let last = self.faults.iter().map(|fault| fault.at).max()?;
-        Some(last.after(Self::SETTLE))
+        Some(last.after(Self::SETTLE_TIME))
     }
 
     /// Returns the retries that a target admits per hundred first sends.
     pub(crate) const fn retry_percent(&self) -> u8 {
         match self.retry {
-            RetryHabit::AtOnce {
+            RetryPolicy::Immediate {
                 budget_percent: Some(percent),
                 ..
             } => percent,
-            RetryHabit::AtOnce { .. } | RetryHabit::Never => Self::NO_BUDGET,
+            RetryPolicy::Immediate { .. } | RetryPolicy::Never => Self::UNLIMITED_RETRIES,
         }
     }
 
-    /// Returns how long after its arrival a request is of use to its caller.
+    /// Returns the deadline of a request, from its arrival.
     pub(crate) const fn deadline(&self) -> ModelMicros {
         match self.retry {
-            RetryHabit::AtOnce {
-                patience,
-                tells_deadline: true,
+            RetryPolicy::Immediate {
+                caller_timeout,
+                sends_deadline: true,
                 ..
-            } => patience,
-            RetryHabit::AtOnce { .. } | RetryHabit::Never => Self::DEADLINE,
+            } => caller_timeout,
+            RetryPolicy::Immediate { .. } | RetryPolicy::Never => Self::DEFAULT_DEADLINE,
         }
     }
 
-    /// Returns the limits of each target's slots.
+    /// Returns the slot limits of each target.
     pub(crate) fn limits(&self) -> SlotLimits {
         let is_central = self.relay == RelayRule::CentralQueue;
         SlotLimits {
-            slots: SystemProfile::SLOTS as u16,
-            queue: Self::QUEUE,
+            slots: ServiceProfile::SLOTS as u16,
+            queue: Self::QUEUE_LIMIT,
             reserve: if is_central { 0 } else { self.reserve },
         }
     }
 
-    /// Returns the targets that take part at some time.
+    /// Returns the number of targets, including absent ones.
     pub(crate) fn target_count(&self) -> usize {
-        self.system.targets() + self.absent
+        self.service.targets() + self.absent_targets
     }
 }
--- a/src/lab/model/system_profile.rs
+++ b/src/lab/model/service_profile.rs
@@ -3,13 +3,13 @@
 use super::ModelMicros;
 use crate::manifest::RequestPriority;
 
-/// One of the users' services, as the model knows it.
+/// The size and request mix of one of the users' services.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) enum SystemProfile {
-    /// Havbruk's control of feed barges.
+pub(crate) enum ServiceProfile {
+    /// Havbruk's feed barge control.
     BargeControl,
-    /// Havbruk's uploads of logbooks.
+    /// Havbruk's logbook uploads.
     Logbook,
     /// Trinacria's tables and release feeds.
     Tavole,
@@ -17,28 +17,28 @@
     Raccolta,
 }
 
-/// The share and the mean work of one kind of request.
+/// A class of requests: its priority, its share and its mean service time.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct WorkClass {
-    /// The place in the queue.
+pub(crate) struct RequestClass {
+    /// The priority in the queue.
     pub(crate) priority: RequestPriority,
-    /// The requests of this kind in a hundred.
+    /// The percentage of requests in this class.
     pub(crate) percent: u32,
-    /// The mean time in a slot.
-    pub(crate) mean_work: ModelMicros,
+    /// The mean time in a slot at full speed.
+    pub(crate) mean_service_time: ModelMicros,
 }
 
-impl SystemProfile {
-    /// Requests that one target runs at once.
+impl ServiceProfile {
+    /// The concurrent requests of one target.
     pub(crate) const SLOTS: usize = 4;
-    /// Connections that one target holds at most.
+    /// The connection limit of one target.
     pub(crate) const CONNECTIONS: usize = 2_000;
-    /// The users' failure domains.
+    /// The number of failure domains of each user.
     pub(crate) const FAILURE_DOMAINS: usize = 3;
-    /// The time of a message within a failure domain.
-    pub(crate) const INNER_DELAY: ModelMicros = ModelMicros::new(100);
+    /// The shortest delay of a message within a failure domain.
+    pub(crate) const INTRA_DOMAIN_DELAY: ModelMicros = ModelMicros::new(100);
 
-    /// Returns the service's name.
+    /// Returns the name of the service.
     pub(crate) const fn name(self) -> &'static str {
         match self {
             Self::BargeControl => "barge-control",
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns the time of a message between failure domains.
+    /// Returns the shortest delay of a message between failure domains.
     pub(crate) const fn domain_delay(self) -> ModelMicros {
         match self {
             Self::BargeControl | Self::Logbook => ModelMicros::new(500),
@@ -64,30 +64,30 @@
         }
     }
 
-    /// Returns the kinds of request; their shares add up to a hundred.
-    pub(crate) const fn classes(self) -> [WorkClass; 3] {
+    /// Returns the request classes; their percentages add up to 100.
+    pub(crate) const fn classes(self) -> [RequestClass; 3] {
         match self {
             Self::BargeControl => [
-                WorkClass::new(RequestPriority::Urgent, 10, 10),
-                WorkClass::new(RequestPriority::Normal, 70, 40),
-                WorkClass::new(RequestPriority::Bulk, 20, 160),
+                RequestClass::new(RequestPriority::Urgent, 10, 10),
+                RequestClass::new(RequestPriority::Normal, 70, 40),
+                RequestClass::new(RequestPriority::Bulk, 20, 160),
             ],
             Self::Tavole => [
-                WorkClass::new(RequestPriority::Urgent, 5, 10),
-                WorkClass::new(RequestPriority::Normal, 85, 30),
-                WorkClass::new(RequestPriority::Bulk, 10, 160),
+                RequestClass::new(RequestPriority::Urgent, 5, 10),
+                RequestClass::new(RequestPriority::Normal, 85, 30),
+                RequestClass::new(RequestPriority::Bulk, 10, 160),
             ],
             Self::Logbook | Self::Raccolta => [
-                WorkClass::new(RequestPriority::Urgent, 0, 10),
-                WorkClass::new(RequestPriority::Normal, 40, 60),
-                WorkClass::new(RequestPriority::Bulk, 60, 200),
+                RequestClass::new(RequestPriority::Urgent, 0, 10),
+                RequestClass::new(RequestPriority::Normal, 40, 60),
+                RequestClass::new(RequestPriority::Bulk, 60, 200),
             ],
         }
     }
 
     /// Returns the slots of a target that bulk requests leave free.
     ///
-    /// Only a service with an urgent rule keeps one.
+    /// Only services with urgent requests reserve one.
     pub(crate) const fn reserve(self) -> u16 {
         match self {
             Self::BargeControl | Self::Tavole => 1,
@@ -96,12 +96,12 @@
     }
 }
 
-impl WorkClass {
+impl RequestClass {
     const fn new(priority: RequestPriority, percent: u32, mean_millis: u64) -> Self {
         Self {
             priority,
             percent,
-            mean_work: ModelMicros::from_millis(mean_millis),
+            mean_service_time: ModelMicros::from_millis(mean_millis),
         }
     }
 }
--- a/src/lab/model/target_station.rs
+++ b/src/lab/model/target_station.rs
@@ -2,7 +2,7 @@
 
 use slotmap::SecondaryMap;
 
-use super::{ConnectionKey, ModelMicros, RequestKey, RunSetup, SystemProfile};
+use super::{CallerKey, ModelMicros, RequestKey, RunSetup, ServiceProfile};
 use crate::{
     agent::{
         admission::{AdmissionGate, AgentPhase, PeerLoad, TargetLoad},
@@ -15,67 +15,67 @@
     clock::ClockMillis,
 };
 
-/// One target with the agent beside it; the agent's own cores decide.
+/// A simulated target and its agent.
+///
+/// Admission, slot and retry decisions are made by the product's own code.
 #[derive(Debug)]
 pub(crate) struct TargetStation {
-    /// Whether it takes part.
     pub(crate) phase: StationPhase,
-    /// The part of the full speed at which it works.
+    /// The current speed as a fraction of full speed.
     pub(crate) speed: f64,
-    /// Decides on new connections.
     pub(crate) gate: AdmissionGate,
-    /// What runs, with its slot and the time at which it began.
+    /// The running requests, with their slots and start times.
     pub(crate) running: HashMap<RequestKey, (SlotKey, ModelMicros)>,
-    /// The connections that it keeps.
-    pub(crate) connections: Vec<ConnectionKey>,
-    /// Its last report, as its peers know it.
+    /// The callers connected to it.
+    pub(crate) connections: Vec<CallerKey>,
+    /// Its last load report, as its peers have it.
     pub(crate) reported: Option<PeerLoad>,
-    /// Counts its runs, so that the events of an earlier one are ignored.
+    /// Incremented at each stop, so that events from before the stop are ignored.
     pub(crate) epoch: u32,
-    /// Limits the resent requests that it admits.
+    /// The budget for resent requests.
     pub(crate) budget: RetryBudget,
-    /// Whether it waits for the answer to a steal.
+    /// Whether it has asked a peer for work since the last retry interval.
     pub(crate) is_stealing: bool,
     limits: SlotLimits,
     slots: SlotQueue,
-    waiting: SecondaryMap<WaiterKey, LineEntry>,
+    waiting: SecondaryMap<WaiterKey, QueueEntry>,
     waiters: HashMap<RequestKey, WaiterKey>,
     held: HashMap<RequestKey, SlotKey>,
 }
 
-/// Whether a target takes part.
+/// The state of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StationPhase {
-    /// It doesn't exist.
+    /// Not started, or crashed.
     Absent,
-    /// It takes new work.
+    /// Accepts connections and requests.
     Serving,
-    /// It finishes what it has.
+    /// Draining: finishes its requests.
     Leaving,
-    /// It exists and nothing reaches it or comes from it.
+    /// Partitioned: no message reaches it or leaves it.
     Silent,
 }
 
-/// What asks for a slot: a request of the target's own or a peer's claim.
+/// An entry of a target's slot queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum LineEntry {
-    /// A request that is here.
+pub(crate) enum QueueEntry {
+    /// A request that waits at this target.
     Own(RequestKey),
-    /// A claim for a request that waits at its home.
+    /// A peer's claim for a request that waits at its home.
     Claim(RequestKey),
 }
 
-/// What became of something that asked for a slot.
+/// The outcome for a queue entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StationEvent {
-    /// It holds a slot.
-    Slot(LineEntry, SlotKey),
-    /// It is given up at once and never runs.
-    Refused(LineEntry),
+    /// The entry has got a slot.
+    Slot(QueueEntry, SlotKey),
+    /// The entry is refused or dropped from the queue.
+    Refused(QueueEntry),
 }
 
-impl LineEntry {
-    /// Returns whose request it is, as the queue tells them apart.
+impl QueueEntry {
+    /// Returns whether the request comes from a caller here or from a peer.
     pub(crate) const fn origin(self) -> SlotOrigin {
         match self {
             Self::Own(_) => SlotOrigin::Own,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Returns the request that asks.
+    /// Returns the request that needs the slot.
     pub(crate) const fn request(self) -> RequestKey {
         match self {
             Self::Own(request) | Self::Claim(request) => request,
@@ -92,10 +92,10 @@
 }
 
 impl TargetStation {
-    /// Creates a target that does nothing yet.
+    /// Creates an idle target.
     pub(crate) fn new(setup: &RunSetup, phase: StationPhase) -> Self {
         let limits = setup.limits();
-        let rule = setup.accept.gate_rule(setup.report_period);
+        let rule = setup.accept.admission_rule(setup.report_period);
         Self {
             phase,
             speed: 1.0,
@@ -114,15 +114,15 @@
         }
     }
 
-    /// Asks for a slot; the events tell what it and others got at once.
-    pub(crate) fn ask(
+    /// Requests a slot; returns the immediate outcomes for this and displaced entries.
+    pub(crate) fn request_slot(
         &mut self,
-        entry: LineEntry,
+        entry: QueueEntry,
         request: SlotRequest,
         now: ClockMillis,
     ) -> Vec<StationEvent> {
         let (verdict, displaced) = self.slots.request(request, now);
-        let mut events = self.translate(displaced);
+        let mut events = self.to_station_events(displaced);
         match verdict {
             SlotVerdict::Run(slot) => events.push(StationEvent::Slot(entry, slot)),
             SlotVerdict::Refuse(_) => events.push(StationEvent::Refused(entry)),
@@ -134,19 +134,19 @@
         events
     }
 
-    /// Gives a slot back on which nothing ran.
+    /// Releases a slot in which nothing ran.
     pub(crate) fn release_unused(&mut self, slot: SlotKey, now: ClockMillis) -> Vec<StationEvent> {
         let events = self.slots.release_unused(slot, now);
-        self.translate(events)
+        self.to_station_events(events)
     }
 
-    /// Gives a slot back.
+    /// Releases a slot after a run.
     pub(crate) fn release(&mut self, slot: SlotKey, now: ClockMillis) -> Vec<StationEvent> {
         let events = self.slots.release(slot, now);
-        self.translate(events)
+        self.to_station_events(events)
     }
 
-    /// Takes out what waits for a request.
+    /// Removes the queue entry of a request.
     pub(crate) fn withdraw(&mut self, request: RequestKey) {
         if let Some(waiter) = self.waiters.remove(&request) {
             self.waiting.remove(waiter);
@@ -154,48 +154,48 @@
         }
     }
 
-    /// Keeps a slot for a request that is to come.
-    pub(crate) fn hold(&mut self, request: RequestKey, slot: SlotKey) {
+    /// Holds a slot for a granted claim.
+    pub(crate) fn hold_slot(&mut self, request: RequestKey, slot: SlotKey) {
         self.held.insert(request, slot);
     }
 
-    /// Returns the slot that was kept for a request, and keeps it no more.
-    pub(crate) fn take_hold(&mut self, request: RequestKey) -> Option<SlotKey> {
+    /// Removes and returns the slot held for a request.
+    pub(crate) fn take_held_slot(&mut self, request: RequestKey) -> Option<SlotKey> {
         self.held.remove(&request)
     }
 
-    /// Returns the requests that wait here themselves.
+    /// Returns the waiting requests, without claims.
     pub(crate) fn own_waiting(&self) -> Vec<RequestKey> {
-        let own = |entry: &LineEntry| match entry {
-            LineEntry::Own(request) => Some(*request),
-            LineEntry::Claim(_) => None,
+        let own = |entry: &QueueEntry| match entry {
+            QueueEntry::Own(request) => Some(*request),
+            QueueEntry::Claim(_) => None,
         };
         self.waiting.values().filter_map(own).collect()
     }
 
-    /// Returns the slots that are neither used nor held.
+    /// Returns the number of slots that are neither used nor held.
     pub(crate) fn free_slots(&self) -> usize {
         let counts = self.slots.counts();
         usize::from(counts.slots.saturating_sub(counts.running))
     }
 
-    /// Returns what runs, is held or waits here.
+    /// Returns the load: running and waiting entries, held slots and connections.
     pub(crate) fn load(&self) -> TargetLoad {
         let counts = self.slots.counts();
         TargetLoad {
             requests: u32::from(counts.running) + u32::from(counts.waiting),
             slots: u32::from(counts.slots),
             connections: self.connections.len() as u32,
-            connection_limit: SystemProfile::CONNECTIONS as u32,
+            connection_limit: ServiceProfile::CONNECTIONS as u32,
         }
     }
 
-    /// Tells whether messages reach it and leave it.
+    /// Returns whether messages reach it and leave it.
     pub(crate) const fn is_reachable(&self) -> bool {
         matches!(self.phase, StationPhase::Serving | StationPhase::Leaving)
     }
 
-    /// Ends this run of the target and returns the requests that were here.
+    /// Stops the target and returns the requests that ran or waited here.
     pub(crate) fn stop(&mut self, phase: StationPhase) -> Vec<RequestKey> {
         let mut lost = self.own_waiting();
         lost.extend(self.running.drain().map(|(request, _)| request));
@@ -210,7 +210,7 @@
         lost
     }
 
-    fn translate(&mut self, events: Vec<SlotEvent>) -> Vec<StationEvent> {
+    fn to_station_events(&mut self, events: Vec<SlotEvent>) -> Vec<StationEvent> {
         let mut translated = Vec::with_capacity(events.len());
         for event in events {
             let (waiter, slot) = match event {
--- a/src/lab/policy/trial_runner.rs
+++ b/src/lab/policy/case_runner.rs
@@ -6,32 +6,32 @@
 use super::{PolicyCase, PolicyResult};
 use crate::lab::model::{LabModel, RunReport};
 
-/// Seeds over which each case is averaged.
+/// The number of seeds that each case is run with.
 const SEEDS: u64 = 5;
-/// Threads that run cases at once.
+/// The number of worker threads.
 const THREADS: usize = 4;
 
-/// Runs all cases and returns their results in the same order.
+/// Runs all cases in parallel and returns their results in the same order.
 pub(crate) fn run_cases(cases: &[PolicyCase]) -> Vec<PolicyResult> {
     let next = AtomicUsize::new(0);
     let mut results: Vec<(usize, PolicyResult)> = thread::scope(|scope| {
         let workers: Vec<_> = (0..THREADS)
-            .map(|_| scope.spawn(|| run_some(cases, &next)))
+            .map(|_| scope.spawn(|| run_worker(cases, &next)))
             .collect();
         workers
             .into_iter()
             .flat_map(|worker| worker.join().unwrap_or_default())
             .collect()
     });
-    results.sort_by_key(|&(place, _)| place);
+    results.sort_by_key(|&(index, _)| index);
     results.into_iter().map(|(_, result)| result).collect()
 }
 
-fn run_some(cases: &[PolicyCase], next: &AtomicUsize) -> Vec<(usize, PolicyResult)> {
+fn run_worker(cases: &[PolicyCase], next: &AtomicUsize) -> Vec<(usize, PolicyResult)> {
     let mut results = Vec::new();
     loop {
-        let place = next.fetch_add(1, Ordering::Relaxed);
-        let Some(case) = cases.get(place) else {
+        let index = next.fetch_add(1, Ordering::Relaxed);
+        let Some(case) = cases.get(index) else {
             return results;
         };
         let seeds = case.setup.seed..case.setup.seed + SEEDS;
@@ -44,6 +44,6 @@
             title: case.title.clone(),
             report,
         };
-        results.push((place, result));
+        results.push((index, result));
     }
 }
--- a/src/lab/policy/policy_case.rs
+++ b/src/lab/policy/policy_case.rs
@@ -2,7 +2,7 @@
 
 use crate::lab::model::{RunReport, RunSetup};
 
-/// The table that a case belongs to.
+/// The table in which a case is reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum CaseGroup {
@@ -10,38 +10,34 @@
     Relay,
     /// Accepting rules at three loads.
     Accept,
-    /// Message delays, losses and lagging reports.
+    /// Message delays, lost messages and lagging reports.
     Messages,
     /// Slow, cold and leaving targets, and bursts.
     Change,
-    /// Failures.
+    /// Retry storms and failures of targets.
     Failure,
 }
 
-/// One run of the model with the words that tell what it tries.
+/// A setup to run, with its table and title.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct PolicyCase {
-    /// The table.
     pub(crate) group: CaseGroup,
-    /// What is varied.
+    /// What the case varies.
     pub(crate) title: String,
-    /// The setup of the run.
     pub(crate) setup: RunSetup,
 }
 
-/// A case with its figures.
+/// The results of a case.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct PolicyResult {
-    /// The table.
     pub(crate) group: CaseGroup,
-    /// What is varied.
+    /// What the case varies.
     pub(crate) title: String,
-    /// The figures.
     pub(crate) report: RunReport,
 }
 
 impl CaseGroup {
-    /// Every group, in the order of the tables.
+    /// All groups, in the order of their tables.
     pub(crate) const ALL: [Self; 5] = [
         Self::Relay,
         Self::Accept,
@@ -63,7 +59,6 @@
 }
 
 impl PolicyCase {
-    /// Names a run.
     pub(crate) fn new(group: CaseGroup, title: &str, setup: RunSetup) -> Self {
         Self {
             group,
--- a/src/lab/policy/policy_plan.rs
+++ b/src/lab/policy/policy_plan.rs
@@ -1,36 +1,37 @@
 use super::{CaseGroup, PolicyCase};
 use crate::lab::model::{
-    AcceptRule, FaultKind, ModelMicros, RelayRule, RetryHabit, RunSetup, SystemProfile,
+    AcceptRule, FaultKind, ModelMicros, RelayRule, RetryPolicy, RunSetup, ServiceProfile,
 };
 
-/// The offered loads, in percent of all slots.
-const LOADS: [u32; 3] = [50, 80, 95];
-/// The rule that relay rules are compared under, and the other way round.
-const ACCEPT: AcceptRule = AcceptRule::Threshold {
+/// Offered loads, in percent of all slots.
+const LOADS_PERCENT: [u32; 3] = [50, 80, 95];
+/// The accepting rule under which relay rules are compared.
+const DEFAULT_ACCEPT: AcceptRule = AcceptRule::Threshold {
     load_permille: 2_000,
 };
-/// The rule that depends on the age of reports.
-const LAGGING: AcceptRule = AcceptRule::LaggingReport {
+/// An accepting rule that depends on the age of load reports.
+const LAGGING_ACCEPT: AcceptRule = AcceptRule::LaggingReport {
     margin_permille: 250,
 };
-const RELAY: RelayRule = claims_at(3, false);
-/// The work of bulk requests in the trials of the reserve.
-const LONG_BULK: ModelMicros = ModelMicros::from_seconds(2);
-/// The bound that no rule can pass.
-const BOUND: RelayRule = RelayRule::CentralQueue;
-const SYSTEMS: [SystemProfile; 4] = [
-    SystemProfile::BargeControl,
-    SystemProfile::Logbook,
-    SystemProfile::Tavole,
-    SystemProfile::Raccolta,
+/// The relay rule under which accepting rules are compared.
+const DEFAULT_RELAY: RelayRule = late_claims(3, false);
+/// The mean service time of bulk requests in the cases on the slot reserve.
+const LONG_BULK_TIME: ModelMicros = ModelMicros::from_seconds(2);
+/// The rule whose waits are the lower bound for all others.
+const LOWER_BOUND: RelayRule = RelayRule::CentralQueue;
+const SERVICES: [ServiceProfile; 4] = [
+    ServiceProfile::BargeControl,
+    ServiceProfile::Logbook,
+    ServiceProfile::Tavole,
+    ServiceProfile::Raccolta,
 ];
 const RELAYS: [RelayRule; 8] = [
     RelayRule::Never,
     RelayRule::ShorterOfTwo,
-    claims_at(2, false),
-    claims_at(3, false),
-    claims_at(4, false),
-    claims_at(3, true),
+    late_claims(2, false),
+    late_claims(3, false),
+    late_claims(4, false),
+    late_claims(3, true),
     RelayRule::Stealing,
     RelayRule::CentralQueue,
 ];
@@ -53,53 +54,58 @@
     },
 ];
 
-const fn claims_at(targets: u8, near: bool) -> RelayRule {
-    RelayRule::LateClaims { targets, near }
+const fn late_claims(targets: u8, own_domain_first: bool) -> RelayRule {
+    RelayRule::LateClaims {
+        targets,
+        own_domain_first,
+    }
 }
 
-/// Returns the cases that compare the rules.
+/// Returns the cases that compare the accepting and relay rules.
 pub(crate) fn policy_cases(seed: u64, requests: u64) -> Vec<PolicyCase> {
     let mut cases = Vec::new();
-    for system in SYSTEMS {
-        add_steady(&mut cases, system);
+    for service in SERVICES {
+        add_steady_load(&mut cases, service);
     }
-    for system in [SystemProfile::BargeControl, SystemProfile::Tavole] {
-        add_messages(&mut cases, system);
-        add_changes(&mut cases, system);
+    for service in [ServiceProfile::BargeControl, ServiceProfile::Tavole] {
+        add_message_faults(&mut cases, service);
+        add_target_changes(&mut cases, service);
     }
-    seeded(cases, seed, requests)
+    with_seed_and_requests(cases, seed, requests)
 }
 
-/// Returns the cases of failures.
+/// Returns the cases of retry storms and failures.
 pub(crate) fn failure_cases(seed: u64, requests: u64) -> Vec<PolicyCase> {
     let mut cases = Vec::new();
-    for system in [SystemProfile::BargeControl, SystemProfile::Tavole] {
-        add_storms(&mut cases, system);
-        add_losses(&mut cases, system);
+    for service in [ServiceProfile::BargeControl, ServiceProfile::Tavole] {
+        add_retry_storms(&mut cases, service);
+        add_target_losses(&mut cases, service);
     }
-    seeded(cases, seed, requests)
+    with_seed_and_requests(cases, seed, requests)
 }
 
-fn seeded(cases: Vec<PolicyCase>, seed: u64, requests: u64) -> Vec<PolicyCase> {
-    let set = |mut case: PolicyCase| {
+fn with_seed_and_requests(cases: Vec<PolicyCase>, seed: u64, requests: u64) -> Vec<PolicyCase> {
+    let configure = |mut case: PolicyCase| {
         case.setup = case.setup.with_seed(seed).with_requests(requests);
         case
     };
-    cases.into_iter().map(set).collect()
+    cases.into_iter().map(configure).collect()
 }
 
-fn add_steady(cases: &mut Vec<PolicyCase>, system: SystemProfile) {
-    for load in LOADS {
-        let relays = RELAYS.into_iter().filter(|it| it.fits(system.targets()));
+fn add_steady_load(cases: &mut Vec<PolicyCase>, service: ServiceProfile) {
+    for load in LOADS_PERCENT {
+        let relays = RELAYS
+            .into_iter()
+            .filter(|it| it.is_distinct_for(service.targets()));
         for relay in relays {
-            let setup = RunSetup::new(system, ACCEPT, relay).with_load(load);
+            let setup = RunSetup::new(service, DEFAULT_ACCEPT, relay).with_load(load);
             cases.push(PolicyCase::new(CaseGroup::Relay, "steady", setup));
         }
-        if system.reserve() > 0 {
-            let setup = RunSetup::new(system, ACCEPT, RELAY).with_load(load);
+        if service.reserve() > 0 {
+            let setup = RunSetup::new(service, DEFAULT_ACCEPT, DEFAULT_RELAY).with_load(load);
             let plain = setup.clone().with_reserve(0);
             cases.push(PolicyCase::new(CaseGroup::Relay, "no reserve", plain));
-            let long = setup.with_bulk_work(LONG_BULK);
+            let long = setup.with_bulk_service_time(LONG_BULK_TIME);
             let plain = long.clone().with_reserve(0);
             cases.push(PolicyCase::new(CaseGroup::Relay, "bulk of 2 s", long));
             cases.push(PolicyCase::new(
@@ -109,31 +115,31 @@
             ));
         }
     }
-    if system.targets() < 4 {
+    if service.targets() < 4 {
         return;
     }
-    for load in LOADS {
-        for relay in [RelayRule::Never, RELAY] {
+    for load in LOADS_PERCENT {
+        for relay in [RelayRule::Never, DEFAULT_RELAY] {
             for accept in ACCEPTS {
-                let setup = RunSetup::new(system, accept, relay).with_load(load);
+                let setup = RunSetup::new(service, accept, relay).with_load(load);
                 cases.push(PolicyCase::new(CaseGroup::Accept, "steady", setup));
             }
         }
     }
 }
 
-fn add_messages(cases: &mut Vec<PolicyCase>, system: SystemProfile) {
+fn add_message_faults(cases: &mut Vec<PolicyCase>, service: ServiceProfile) {
     let relays = [
         RelayRule::ShorterOfTwo,
-        claims_at(2, false),
-        RELAY,
+        late_claims(2, false),
+        DEFAULT_RELAY,
         RelayRule::Stealing,
     ];
     let mut add = |title: &str, setup: RunSetup| {
         cases.push(PolicyCase::new(CaseGroup::Messages, title, setup));
     };
     for relay in relays {
-        let setup = RunSetup::new(system, ACCEPT, relay);
+        let setup = RunSetup::new(service, DEFAULT_ACCEPT, relay);
         for micros in [500_u32, 1_000, 2_000] {
             let title = format!("{:.1} ms between domains", f64::from(micros) / 1_000.0);
             let delay = ModelMicros::new(u64::from(micros));
@@ -144,31 +150,31 @@
     }
     for millis in [8, 20, 50] {
         let title = format!("1% of messages lost, slots held for {millis} ms");
-        let setup = RunSetup::new(system, ACCEPT, RELAY).with_loss(10);
+        let setup = RunSetup::new(service, DEFAULT_ACCEPT, DEFAULT_RELAY).with_loss(10);
         add(&title, setup.with_hold(ModelMicros::from_millis(millis)));
     }
     for seconds in [1, 5, 30] {
-        let setup = RunSetup::new(system, LAGGING, RELAY);
+        let setup = RunSetup::new(service, LAGGING_ACCEPT, DEFAULT_RELAY);
         let period = ModelMicros::from_seconds(seconds);
         let title = format!("load reports every {seconds} s");
         add(&title, setup.with_report_period(period));
     }
 }
 
-fn add_changes(cases: &mut Vec<PolicyCase>, system: SystemProfile) {
+fn add_target_changes(cases: &mut Vec<PolicyCase>, service: ServiceProfile) {
     let rules = [
         (AcceptRule::HashOnly, RelayRule::Never),
-        (ACCEPT, RelayRule::Never),
-        (ACCEPT, RelayRule::ShorterOfTwo),
-        (ACCEPT, claims_at(2, false)),
-        (ACCEPT, RELAY),
-        (ACCEPT, RelayRule::Stealing),
-        (ACCEPT, BOUND),
+        (DEFAULT_ACCEPT, RelayRule::Never),
+        (DEFAULT_ACCEPT, RelayRule::ShorterOfTwo),
+        (DEFAULT_ACCEPT, late_claims(2, false)),
+        (DEFAULT_ACCEPT, DEFAULT_RELAY),
+        (DEFAULT_ACCEPT, RelayRule::Stealing),
+        (DEFAULT_ACCEPT, LOWER_BOUND),
     ];
     let start = ModelMicros::ZERO;
-    let extra = system.targets();
+    let joining_target = service.targets();
     for (accept, relay) in rules {
-        let setup = RunSetup::new(system, accept, relay);
+        let setup = RunSetup::new(service, accept, relay);
         let mut add = |title: &str, setup: RunSetup| {
             cases.push(PolicyCase::new(CaseGroup::Change, title, setup));
         };
@@ -180,13 +186,15 @@
             "a target at a quarter of its speed, 70% load",
             setup.clone().with_load(70).with_fault(start, slow),
         );
-        let cold = FaultKind::ColdStart { target: extra };
+        let cold = FaultKind::ColdStart {
+            target: joining_target,
+        };
         add(
             "a further target starts cold, 90% load",
             setup
                 .clone()
                 .with_load(90)
-                .with_absent(1)
+                .with_absent_targets(1)
                 .with_fault(start, cold),
         );
         let drain = FaultKind::Drain { target: 0 };
@@ -198,17 +206,17 @@
     }
 }
 
-/// Lets three times the callers connect within 10 s, with three times the
-/// requests for 30 s.
+/// Adds a release burst: the callers triple within 10 s, and the request rate
+/// triples for 30 s.
 fn with_release(setup: RunSetup) -> RunSetup {
     let callers = setup.callers * 2;
-    let arrive = FaultKind::Callers {
+    let connect = FaultKind::Callers {
         count: callers,
         over: ModelMicros::from_seconds(10),
     };
     setup
         .with_load(50)
-        .with_fault(ModelMicros::from_seconds(60), arrive)
+        .with_fault(ModelMicros::from_seconds(60), connect)
         .with_fault(
             ModelMicros::from_seconds(60),
             FaultKind::Rate { factor: 3.0 },
@@ -219,28 +227,31 @@
         )
 }
 
-fn add_storms(cases: &mut Vec<PolicyCase>, system: SystemProfile) {
-    let at_once = |budget_percent, cancels, tells_deadline| RetryHabit::AtOnce {
-        times: 3,
-        patience: ModelMicros::from_seconds(1),
+fn add_retry_storms(cases: &mut Vec<PolicyCase>, service: ServiceProfile) {
+    let immediate = |budget_percent, cancels, sends_deadline| RetryPolicy::Immediate {
+        max_resends: 3,
+        caller_timeout: ModelMicros::from_seconds(1),
         budget_percent,
         cancels,
-        tells_deadline,
+        sends_deadline,
     };
-    let habits = [
-        ("callers never resend", RetryHabit::Never),
-        ("resend 3 times", at_once(None, false, false)),
-        ("resend, budget 10%", at_once(Some(10), false, false)),
-        ("resend, cancel", at_once(None, true, false)),
-        ("resend, cancel, deadline", at_once(None, true, true)),
-        ("resend, budget 10%, cancel", at_once(Some(10), true, false)),
+    let policies = [
+        ("callers never resend", RetryPolicy::Never),
+        ("resend 3 times", immediate(None, false, false)),
+        ("resend, budget 10%", immediate(Some(10), false, false)),
+        ("resend, cancel", immediate(None, true, false)),
+        ("resend, cancel, deadline", immediate(None, true, true)),
+        (
+            "resend, budget 10%, cancel",
+            immediate(Some(10), true, false),
+        ),
         (
             "resend, budget 10%, cancel, deadline",
-            at_once(Some(10), true, true),
+            immediate(Some(10), true, true),
         ),
     ];
-    for (title, habit) in habits {
-        let setup = RunSetup::new(system, ACCEPT, RELAY).with_retry(habit);
+    for (title, policy) in policies {
+        let setup = RunSetup::new(service, DEFAULT_ACCEPT, DEFAULT_RELAY).with_retry(policy);
         let setup = setup
             .with_fault(
                 ModelMicros::from_seconds(60),
@@ -255,9 +266,9 @@
     }
 }
 
-fn add_losses(cases: &mut Vec<PolicyCase>, system: SystemProfile) {
+fn add_target_losses(cases: &mut Vec<PolicyCase>, service: ServiceProfile) {
     let at = ModelMicros::from_seconds(60);
-    let setup = RunSetup::new(system, ACCEPT, RELAY).with_load(50);
+    let setup = RunSetup::new(service, DEFAULT_ACCEPT, DEFAULT_RELAY).with_load(50);
     let mut add = |title: &str, setup: RunSetup| {
         cases.push(PolicyCase::new(CaseGroup::Failure, title, setup));
     };
@@ -268,13 +279,13 @@
             .with_fault(at, FaultKind::Silence { target: 0 }),
     );
     let mut lost = setup.clone();
-    for target in (0..system.targets()).step_by(SystemProfile::FAILURE_DOMAINS) {
+    for target in (0..service.targets()).step_by(ServiceProfile::FAILURE_DOMAINS) {
         lost = lost.with_fault(at, FaultKind::Crash { target });
     }
     add("a failure domain is lost, 50% load", lost);
     let mut restarted = setup.clone();
     let mut drained = setup;
-    for target in 0..system.targets() {
+    for target in 0..service.targets() {
         let turn = at.after(ModelMicros::from_seconds(40 * target as u64));
         let back = turn.after(ModelMicros::from_seconds(10));
         let cold = FaultKind::ColdStart { target };
--- a/src/lab/policy/policy_plot.rs
+++ b/src/lab/policy/policy_plot.rs
@@ -5,7 +5,7 @@
 use thiserror::Error;
 
 use super::{CaseGroup, PolicyResult};
-use crate::lab::model::{RelayRule, SystemProfile};
+use crate::lab::model::{RelayRule, ServiceProfile};
 
 /// Why a plot could not be drawn.
 #[derive(Debug, Error, Diagnostic)]
@@ -19,30 +19,30 @@
     reason: String,
 }
 
-/// The size of the plot in pixels.
-const SIZE: (u32, u32) = (1_000, 700);
-/// The rules in the order of their colours.
-const COLOURS: [(RelayRule, RGBColor); 7] = [
+/// The width and height of the plot.
+const SIZE_PIXELS: (u32, u32) = (1_000, 700);
+/// The plotted rules and their colours.
+const RULE_COLOURS: [(RelayRule, RGBColor); 7] = [
     (RelayRule::Never, RGBColor(0x99, 0x99, 0x99)),
     (RelayRule::ShorterOfTwo, RGBColor(0xd5, 0x5e, 0x00)),
     (
         RelayRule::LateClaims {
             targets: 2,
-            near: false,
+            own_domain_first: false,
         },
         RGBColor(0x56, 0xb4, 0xe9),
     ),
     (
         RelayRule::LateClaims {
             targets: 3,
-            near: false,
+            own_domain_first: false,
         },
         RGBColor(0x00, 0x72, 0xb2),
     ),
     (
         RelayRule::LateClaims {
             targets: 4,
-            near: false,
+            own_domain_first: false,
         },
         RGBColor(0x00, 0x9e, 0x73),
     ),
@@ -50,33 +50,35 @@
     (RelayRule::CentralQueue, RGBColor(0x00, 0x00, 0x00)),
 ];
 
-/// Draws the waits of the relay rules against the load, a panel a service.
+/// Draws the p99 waits over the load into an SVG file.
+///
+/// There is one panel per service, with one line per relay rule.
 pub(crate) fn draw_plot(path: &Path, results: &[PolicyResult]) -> Result<(), PlotError> {
-    let failed = |error: &dyn std::fmt::Display| PlotError {
+    let plot_error = |error: &dyn std::fmt::Display| PlotError {
         path: path.display().to_string(),
         reason: error.to_string(),
     };
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
-    area.fill(&WHITE).map_err(|error| failed(&error))?;
+    let area = SVGBackend::new(path, SIZE_PIXELS).into_drawing_area();
+    area.fill(&WHITE).map_err(|error| plot_error(&error))?;
     let systems = [
-        SystemProfile::BargeControl,
-        SystemProfile::Logbook,
-        SystemProfile::Tavole,
-        SystemProfile::Raccolta,
+        ServiceProfile::BargeControl,
+        ServiceProfile::Logbook,
+        ServiceProfile::Tavole,
+        ServiceProfile::Raccolta,
     ];
-    for (panel, system) in area.split_evenly((2, 2)).iter().zip(systems) {
-        draw_panel(panel, system, results).map_err(|error| failed(&error))?;
+    for (panel, service) in area.split_evenly((2, 2)).iter().zip(systems) {
+        draw_panel(panel, service, results).map_err(|error| plot_error(&error))?;
     }
-    area.present().map_err(|error| failed(&error))
+    area.present().map_err(|error| plot_error(&error))
 }
 
 fn draw_panel(
     panel: &DrawingArea<SVGBackend<'_>, plotters::coord::Shift>,
-    system: SystemProfile,
+    service: ServiceProfile,
     results: &[PolicyResult],
 ) -> Result<(), Box<dyn std::error::Error>> {
     let mut chart = ChartBuilder::on(panel)
-        .caption(system.name(), ("sans-serif", 18))
+        .caption(service.name(), ("sans-serif", 18))
         .margin(10)
         .x_label_area_size(35)
         .y_label_area_size(60)
@@ -86,8 +88,8 @@
         .x_desc("offered load, % of slots")
         .y_desc("wait p99, ms")
         .draw()?;
-    for (relay, colour) in COLOURS {
-        let points = relay_points(system, relay, results);
+    for (relay, colour) in RULE_COLOURS {
+        let points = relay_points(service, relay, results);
         let line = LineSeries::new(points, colour.stroke_width(2)).point_size(3);
         chart
             .draw_series(line)?
@@ -103,7 +105,7 @@
 }
 
 fn relay_points(
-    system: SystemProfile,
+    service: ServiceProfile,
     relay: RelayRule,
     results: &[PolicyResult],
 ) -> Vec<(u32, f64)> {
@@ -112,7 +114,7 @@
         .filter(|result| result.group == CaseGroup::Relay)
         .filter(|result| result.title == "steady")
         .map(|result| &result.report)
-        .filter(|report| report.setup.system == system && report.setup.relay == relay)
+        .filter(|report| report.setup.service == service && report.setup.relay == relay)
         .map(|report| (report.setup.load_percent, report.wait_p99_millis.max(1.0)))
         .collect()
 }
--- a/src/lab/policy/policy_table.rs
+++ b/src/lab/policy/policy_table.rs
@@ -13,9 +13,9 @@
         }
         writeln!(text, "### {}\n", group.heading())?;
         match group {
-            CaseGroup::Failure => write_failures(&mut text, &rows)?,
+            CaseGroup::Failure => write_failure_table(&mut text, &rows)?,
             CaseGroup::Relay | CaseGroup::Accept | CaseGroup::Messages | CaseGroup::Change => {
-                write_waits(&mut text, &rows, results)?;
+                write_wait_table(&mut text, &rows, results)?;
             }
         }
         writeln!(text)?;
@@ -23,7 +23,11 @@
     Ok(text)
 }
 
-fn write_waits(text: &mut String, rows: &[&PolicyResult], results: &[PolicyResult]) -> fmt::Result {
+fn write_wait_table(
+    text: &mut String,
+    rows: &[&PolicyResult],
+    results: &[PolicyResult],
+) -> fmt::Result {
     writeln!(
         text,
         "| Service | Case | Load | Accepting | Relay | Wait p50, ms | Wait p99, ms | To bound \
@@ -35,14 +39,14 @@
     )?;
     for row in rows {
         let report = &row.report;
-        let bound = bound_of(row, results).map_or_else(
+        let bound = find_bound(row, results).map_or_else(
             || "-".to_owned(),
             |bound| ratio(report.wait_p99_millis, bound.wait_p99_millis),
         );
         writeln!(
             text,
             "| {} | {} | {}% | {} | {} | {:.1} | {:.1} | {bound} | {:.1} | {:.2} | {:.2} | {} | {:.1} |",
-            report.setup.system.name(),
+            report.setup.service.name(),
             row.title,
             report.setup.load_percent,
             report.setup.accept.label(),
@@ -59,7 +63,7 @@
     Ok(())
 }
 
-fn write_failures(text: &mut String, rows: &[&PolicyResult]) -> fmt::Result {
+fn write_failure_table(text: &mut String, rows: &[&PolicyResult]) -> fmt::Result {
     writeln!(
         text,
         "| Service | Case | Requests | Wait p99, ms | A minute after, ms | Urgent p99, ms | Refused | Expired | Withdrawn | Unknown \
@@ -74,7 +78,7 @@
         writeln!(
             text,
             "| {} | {} | {} | {:.1} | {:.1} | {:.1} | {} | {} | {} | {} | {} | {:.1}% | {} | {} | {:.2} |",
-            report.setup.system.name(),
+            report.setup.service.name(),
             row.title,
             report.arrived,
             report.wait_p99_millis,
@@ -94,15 +98,16 @@
     Ok(())
 }
 
-/// Finds the run of the central queue under the same load and faults.
-fn bound_of<'a>(row: &PolicyResult, results: &'a [PolicyResult]) -> Option<&'a RunReport> {
+/// Finds the result of the central queue for the same service, load, faults and bulk
+/// service time.
+fn find_bound<'a>(row: &PolicyResult, results: &'a [PolicyResult]) -> Option<&'a RunReport> {
     let setup = &row.report.setup;
     results.iter().map(|it| &it.report).find(|report| {
         report.setup.relay == RelayRule::CentralQueue
-            && report.setup.system == setup.system
+            && report.setup.service == setup.service
             && report.setup.load_percent == setup.load_percent
             && report.setup.faults == setup.faults
-            && report.setup.bulk_work == setup.bulk_work
+            && report.setup.bulk_service_time == setup.bulk_service_time
     })
 }
 
--- a/src/lab/tests.rs
+++ b/src/lab/tests.rs
@@ -1,12 +1,15 @@
-//! Tests of the model: the same seed gives the same figures, nothing is lost
-//! in a sound system, and the rules keep their order.
+//! Tests of the simulation and of the cost measurements.
+//!
+//! The same seed must give the same results, a healthy service must lose no request,
+//! and the relay rules must rank as expected.
 
 use rstest::rstest;
 
 use super::{
     cost::{CostEffort, CostPart},
     model::{
-        AcceptRule, FaultKind, LabModel, ModelMicros, RelayRule, RunReport, RunSetup, SystemProfile,
+        AcceptRule, FaultKind, LabModel, ModelMicros, RelayRule, RunReport, RunSetup,
+        ServiceProfile,
     },
 };
 
@@ -16,11 +19,11 @@
 };
 const CLAIMS: RelayRule = RelayRule::LateClaims {
     targets: 3,
-    near: false,
+    own_domain_first: false,
 };
 
 fn setup(relay: RelayRule) -> RunSetup {
-    RunSetup::new(SystemProfile::BargeControl, ACCEPT, relay).with_requests(REQUESTS)
+    RunSetup::new(ServiceProfile::BargeControl, ACCEPT, relay).with_requests(REQUESTS)
 }
 
 fn run(setup: RunSetup) -> RunReport {
@@ -28,7 +31,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_figures() {
+fn the_same_seed_gives_the_same_results() {
     let report = run(setup(CLAIMS));
     let again = run(setup(CLAIMS));
     assert_eq!(
@@ -51,12 +54,12 @@
 }
 
 #[test]
-fn late_claims_lie_between_the_bound_and_no_relay() {
-    let bound = run(setup(RelayRule::CentralQueue)).wait_p99_millis;
+fn late_claims_wait_longer_than_the_central_queue_and_less_than_no_relay() {
+    let central = run(setup(RelayRule::CentralQueue)).wait_p99_millis;
     let claims = run(setup(CLAIMS)).wait_p99_millis;
-    let alone = run(setup(RelayRule::Never)).wait_p99_millis;
-    assert!(bound < claims, "{bound} {claims}");
-    assert!(claims < alone, "{claims} {alone}");
+    let never = run(setup(RelayRule::Never)).wait_p99_millis;
+    assert!(central < claims, "{central} {claims}");
+    assert!(claims < never, "{claims} {never}");
 }
 
 #[test]
@@ -66,7 +69,7 @@
 }
 
 #[test]
-fn a_drain_breaks_no_connection_and_a_crash_breaks_those_of_its_target() {
+fn a_drain_moves_connections_and_a_crash_breaks_them() {
     let at = ModelMicros::from_seconds(1);
     let drained = run(setup(CLAIMS).with_fault(at, FaultKind::Drain { target: 0 }));
     assert_eq!(drained.broken, 0);
@@ -82,8 +85,8 @@
 #[case(CostPart::Relays)]
 #[case(CostPart::Control)]
 #[case(CostPart::Agent)]
-fn every_cost_is_measured_on_small_sizes(#[case] part: CostPart) {
-    let lines = part.measure(CostEffort::Short).expect("a figure for each");
-    assert!(!lines.is_empty());
-    assert!(lines.iter().all(|line| line.figure.is_finite()));
+fn every_cost_part_runs_on_small_sizes(#[case] part: CostPart) {
+    let results = part.measure(CostEffort::Short).expect("a figure for each");
+    assert!(!results.is_empty());
+    assert!(results.iter().all(|result| result.figure.is_finite()));
 }
