--- a/src/demo/demo_error.rs
+++ b/src/demo/demo_error.rs
@@ -8,27 +8,27 @@
     secret::SecretError, tls::TlsError,
 };
 
-/// Why the demo could not be staged.
+/// Why the demo could not start.
 #[derive(Debug, Error, Diagnostic)]
 pub enum DemoError {
-    /// A file or an address can't be had.
+    /// A file could not be written or an address could not be bound.
     #[error("cannot prepare {what}: {cause}")]
     Prepare {
         /// What was being prepared.
         what: &'static str,
-        /// What the system answered.
+        /// The error of the operating system.
         #[source]
         cause: io::Error,
     },
-    /// The secret was refused.
+    /// The deployment secret could not be used.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Secret(#[from] SecretError),
-    /// The certificate was refused.
+    /// The certificate could not be made or used.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Tls(#[from] TlsError),
-    /// Control refused a call.
+    /// A call to control failed.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Control(#[from] ControlClientError),
@@ -40,12 +40,12 @@
     #[error(transparent)]
     #[diagnostic(transparent)]
     Agent(#[from] AgentError),
-    /// The site did not come up in time.
+    /// A part of the site did not start in time.
     #[error("{what} did not come up within {seconds} s")]
     Late {
         /// What was waited for.
         what: &'static str,
-        /// The time that was waited.
+        /// The timeout.
         seconds: u64,
     },
 }
--- a/src/demo/demo_load.rs
+++ b/src/demo/demo_load.rs
@@ -4,33 +4,33 @@
     time::{Duration, Instant},
 };
 
-use super::demo_tally::{DemoTally, RequestOutcome};
+use super::demo_counters::{DemoCounters, RequestOutcome};
 use crate::{
     caller::{AnswerStream, CallAnswer, CallRequest, CallerError, ServiceCaller},
     program::StopSignal,
     tls::ServerTrust,
 };
 
-/// The requests that a caller sends over one connection.
+/// Requests per connection of a caller.
 const REQUESTS_PER_CONNECTION: u32 = 6;
 /// The pause between two requests of a caller.
 const REQUEST_PAUSE: Duration = Duration::from_millis(10);
-/// The time within which a connection must stand.
+/// The timeout for a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Where the callers of one service send to, and whom they expect to answer.
+/// What callers need to reach a service.
 #[derive(Debug, Clone)]
 pub(super) struct DemoService {
-    /// The service's name.
+    /// The name of the service.
     pub(super) name: &'static str,
-    /// The service's address.
+    /// The address of the service.
     pub(super) address: SocketAddrV4,
-    /// The root that signed the agents' certificate.
+    /// The root that signed the certificate of the agents.
     pub(super) trust: ServerTrust,
 }
 
 impl DemoService {
-    /// Connects to whichever target the balancers choose.
+    /// Connects to a target chosen by the balancers; none if that fails or times out.
     pub(super) async fn connect(&self) -> Option<ServiceCaller> {
         let attempt = ServiceCaller::connect(self.address, self.name, self.trust.clone());
         tokio::time::timeout(CONNECT_TIMEOUT, attempt)
@@ -39,26 +39,27 @@
             .ok()
     }
 
-    /// Upstreams are named after their service.
-    fn is_own(&self, upstream: &[u8]) -> bool {
+    /// Returns whether an upstream belongs to this service; upstream names start with
+    /// the name of their service.
+    fn is_from_service(&self, upstream: &[u8]) -> bool {
         upstream.starts_with(self.name.as_bytes())
     }
 }
 
-/// Sends requests over ever new connections until the stop.
+/// Sends requests until the stop, with a new connection after every few.
 pub(super) async fn send_requests(
     service: DemoService,
     caller_number: usize,
-    tally: Arc<DemoTally>,
+    counters: Arc<DemoCounters>,
     stop: StopSignal,
 ) {
     let mut number = 0_u64;
     while !stop.is_stopped() {
         let start = Instant::now();
         let connected = service.connect().await;
-        tally.note_connect(start.elapsed());
+        counters.record_connect_time(start.elapsed());
         let Some(caller) = connected else {
-            tally.count_unconnected();
+            counters.count_unconnected();
             continue;
         };
         for _ in 0..REQUESTS_PER_CONNECTION {
@@ -67,23 +68,23 @@
             }
             number += 1;
             let id = format!("{}-{caller_number}-{number}", service.name);
-            if !send_one(&service, &caller, number, &id, &tally).await {
+            if !send_one(&service, &caller, number, &id, &counters).await {
                 break;
             }
             tokio::time::sleep(REQUEST_PAUSE).await;
         }
-        // The other end is told while the next connection is made.
+        // The close runs in parallel with the next connection attempt.
         tokio::spawn(caller.close());
     }
 }
 
-/// Sends a lookup or a command; returns whether the connection can be used on.
+/// Sends a lookup or a command; returns whether the connection is still usable.
 async fn send_one(
     service: &DemoService,
     caller: &ServiceCaller,
     number: u64,
     id: &str,
-    tally: &DemoTally,
+    counters: &DemoCounters,
 ) -> bool {
     let is_command = number.is_multiple_of(2);
     let request = if is_command {
@@ -92,28 +93,28 @@
         CallRequest::new("GET", "/name")
     };
     let answer = caller.send(request).await;
-    let Some(outcome) = judge(service, is_command, &answer) else {
+    let Some(outcome) = classify_answer(service, is_command, &answer) else {
         return false;
     };
     if let (RequestOutcome::Cut, Err(error)) = (outcome, &answer) {
-        tally.note_cut(format!("{id}: {error}"));
+        counters.record_cut(format!("{id}: {error}"));
     }
     if is_command && outcome == RequestOutcome::NotRun {
-        tally.note_refused_run(id.to_owned());
+        counters.record_refused_command(id.to_owned());
     }
-    tally.count(outcome);
+    counters.count(outcome);
     outcome != RequestOutcome::Cut
 }
 
-/// Returns what became of a request; none if it was never sent.
-fn judge(
+/// Returns the outcome of a request; none if it was never sent.
+fn classify_answer(
     service: &DemoService,
     is_command: bool,
     answer: &Result<CallAnswer, CallerError>,
 ) -> Option<RequestOutcome> {
     match answer {
         Ok(answer) if answer.is_success() && is_command => Some(RequestOutcome::Answered),
-        Ok(answer) if answer.is_success() && service.is_own(&answer.body) => {
+        Ok(answer) if answer.is_success() && service.is_from_service(&answer.body) => {
             Some(RequestOutcome::Answered)
         }
         Ok(answer) if answer.is_success() => Some(RequestOutcome::Misrouted),
@@ -124,12 +125,12 @@
     }
 }
 
-/// Reads a stream from its first line until the stop, and counts what it meets.
+/// Reads a stream until the stop and counts its lines and faults.
 pub(super) async fn follow_stream(
     service: DemoService,
     caller: ServiceCaller,
     mut stream: AnswerStream,
-    tally: Arc<DemoTally>,
+    counters: Arc<DemoCounters>,
     stop: StopSignal,
 ) {
     let mut reader = LineReader::default();
@@ -139,42 +140,46 @@
             () = stop.stopped() => break,
         };
         let lines = match part {
-            Ok(Some(part)) => reader.take(&part).ok_or("a line is missing".to_owned()),
+            Ok(Some(part)) => reader
+                .read_part(&part)
+                .ok_or("a line is missing".to_owned()),
             Ok(None) => Err("it ended".to_owned()),
             Err(error) => Err(error.to_string()),
         };
         let lines = match lines {
             Ok(lines) => lines,
             Err(cause) => {
-                tally.count_broken_stream();
-                tally.note_cut(format!("a stream of {}: {cause}", service.name));
+                counters.count_broken_stream();
+                counters.record_cut(format!("a stream of {}: {cause}", service.name));
                 break;
             }
         };
-        tally.count_lines(lines);
-        if !reader.source().is_empty() && !service.is_own(reader.source()) {
-            tally.count(RequestOutcome::Misrouted);
+        counters.count_lines(lines);
+        if !reader.source().is_empty() && !service.is_from_service(reader.source()) {
+            counters.count(RequestOutcome::Misrouted);
         }
     }
     drop(stream);
     caller.close().await;
 }
 
-/// Checks that the numbered lines of a stream come whole and in order.
+/// Checks that the numbered lines of a stream are complete and in order.
 #[derive(Debug, Default)]
 pub(super) struct LineReader {
-    text: Vec<u8>,
+    buffer: Vec<u8>,
     source: Vec<u8>,
-    next: u64,
+    next_number: u64,
 }
 
 impl LineReader {
-    /// Takes a part of the stream; returns its whole lines, or none on a gap.
-    pub(super) fn take(&mut self, part: &[u8]) -> Option<u64> {
-        self.text.extend_from_slice(part);
+    /// Reads a part of the stream; returns the number of lines completed by it.
+    ///
+    /// Returns none if a line is missing, out of order or from another upstream.
+    pub(super) fn read_part(&mut self, part: &[u8]) -> Option<u64> {
+        self.buffer.extend_from_slice(part);
         let mut count = 0;
-        while let Some(end) = self.text.iter().position(|byte| *byte == b'\n') {
-            let line: Vec<u8> = self.text.drain(..=end).collect();
+        while let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
+            let line: Vec<u8> = self.buffer.drain(..=end).collect();
             self.check_line(&line[..end])?;
             count += 1;
         }
@@ -189,11 +194,11 @@
     fn check_line(&mut self, line: &[u8]) -> Option<()> {
         let line = std::str::from_utf8(line).ok()?;
         let (source, number) = line.rsplit_once(' ')?;
-        if self.next == 0 {
+        if self.next_number == 0 {
             self.source = source.as_bytes().to_vec();
         }
-        let is_next = number.parse() == Ok(self.next) && source.as_bytes() == self.source;
-        self.next += 1;
+        let is_next = number.parse() == Ok(self.next_number) && source.as_bytes() == self.source;
+        self.next_number += 1;
         is_next.then_some(())
     }
 }
--- a/src/demo/demo_plan.rs
+++ b/src/demo/demo_plan.rs
@@ -5,15 +5,15 @@
     manifest::{RequestPriority, ServiceLimits, ServiceSpec, TrafficRule},
 };
 
-/// The region of the demo's site.
+/// The region of the demo site.
 pub(super) const REGION: &str = "vestland";
-/// The failure domains of the demo's site.
+/// The failure domains of the demo site.
 pub(super) const DOMAINS: [&str; 3] = ["fjord-a", "fjord-b", "sund"];
-/// The control replicas.
+/// The number of control replicas.
 pub(super) const CONTROL_REPLICAS: u8 = 3;
-/// The balancers at the start, one a failure domain.
+/// The number of balancers at the start, one per failure domain.
 pub(super) const BALANCERS: u8 = 3;
-/// The two services.
+/// The services of the demo.
 pub(super) const SERVICES: [PlannedService; 2] = [
     PlannedService {
         name: "barge-control",
@@ -24,22 +24,22 @@
         targets: 3,
     },
 ];
-/// The callers of each service.
+/// Callers per service.
 pub(super) const CALLERS: usize = 4;
-/// The streams of each service.
+/// Streams per service.
 pub(super) const STREAMS: usize = 4;
 
-/// A service of the demo and its size.
+/// A service and its size.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PlannedService {
-    /// The service's name.
+    /// The name of the service.
     pub(super) name: &'static str,
-    /// How many targets it has.
+    /// The number of targets.
     pub(super) targets: u8,
 }
 
 impl PlannedService {
-    /// Returns the service as the manifest describes it.
+    /// Returns the specification for the manifest.
     pub(super) fn spec(&self, address: SocketAddrV4) -> ServiceSpec {
         ServiceSpec {
             name: self.name.to_owned(),
--- a/src/demo/demo_report.rs
+++ b/src/demo/demo_report.rs
@@ -2,45 +2,47 @@
 
 use serde::Serialize;
 
-/// What the demo counted, with the promises that it watches.
+/// The results of the demo.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct DemoReport {
-    /// Requests that were sent.
+    /// Requests sent.
     pub requests: u64,
-    /// Requests whose whole answer came from the right service.
+    /// Requests with a complete successful answer from the right service.
     pub answered: u64,
-    /// Requests that were refused with the word that they did not run.
+    /// Requests refused with a guarantee that they did not run.
     pub refused_not_run: u64,
-    /// Requests with another answer than success.
+    /// Requests with any other unsuccessful answer.
     pub failed: u64,
-    /// Connections that no agent accepted; no request was sent on them.
+    /// Connection attempts that failed; no request was sent on them.
     pub unconnected: u64,
-    /// The longest time that a caller waited for a connection.
+    /// The longest connection attempt, in milliseconds.
     pub slowest_connect_ms: u64,
-    /// Streams that ended or lost a line, and requests that were cut.
+    /// Streams that ended or lost a line, and requests cut after they were sent.
     pub broken_flows: u64,
-    /// How the first of them were cut.
+    /// The causes of the first of them.
     pub cuts: Vec<String>,
-    /// Streams that were open all the time.
+    /// Streams opened at the start, to last until the end.
     pub streams: u64,
-    /// Lines that the streams brought.
+    /// Lines received on the streams.
     pub stream_lines: u64,
-    /// Answers from another service, and frames for one at an agent.
+    /// Answers from another service, and frames that reached an agent of another service.
     pub misrouted: u64,
     /// Commands that ran more than once.
     pub run_twice: u64,
     /// Commands that ran although they were refused as not run.
     pub ran_though_refused: u64,
-    /// Requests that reached the drained upstream later than allowed.
+    /// Requests that reached the drained upstream after the drain should have ended them.
     pub late_work: u64,
-    /// The busiest target's requests over the mean of its service.
+    /// The requests of the busiest target relative to the mean of its service, for the
+    /// worst service.
     pub imbalance: f64,
-    /// The time until the second manifest was in force on every balancer.
+    /// The milliseconds until the second manifest was in force on every balancer; none
+    /// after a timeout.
     pub in_force_ms: Option<u64>,
 }
 
 impl DemoReport {
-    /// Returns whether every promise that the demo watches was kept.
+    /// Returns whether all checks of the demo passed.
     #[must_use]
     pub fn is_kept(&self) -> bool {
         self.broken_flows == 0
--- a/src/demo/demo_run.rs
+++ b/src/demo/demo_run.rs
@@ -4,11 +4,11 @@
 
 use super::{
     DemoError, DemoReport, FabricStandIn,
+    demo_counters::DemoCounters,
     demo_load::{DemoService, follow_stream, send_requests},
     demo_plan::{BALANCERS, CALLERS, SERVICES, STREAMS},
     demo_site::{DemoSite, DemoTarget, demo_manifest},
-    demo_tally::DemoTally,
-    demo_tasks::{audit, drain, late_work, wait_in_force},
+    demo_tasks::{apply_and_wait, build_report, count_late_requests, drain},
 };
 use crate::{
     balancer::BalancerNode,
@@ -17,34 +17,34 @@
     program::{StopSignal, StopTrigger},
 };
 
-/// The shortest demo in which every step has its time.
+/// The shortest demo that leaves enough time for each phase.
 pub const LEAST_DEMO_SECONDS: u64 = 6;
-/// The time for the site to come up.
+/// The timeout for each part of the site to start.
 const START_SECONDS: u64 = 30;
-/// The pause between two looks at a state.
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
-/// How long the fabric goes on sending to a balancer that is gone.
+/// The interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long the fabric still sends to a stopped balancer.
 const FABRIC_LAG: Duration = Duration::from_millis(200);
-/// The parts that the time of the demo is divided into.
-const PARTS: u32 = 6;
+/// The number of phases of equal length.
+const PHASES: u32 = 6;
 
-/// The running site with its callers.
-struct DemoStage {
+/// The running site and its callers.
+struct DemoRun {
     site: DemoSite,
     client: ControlClient,
     balancers: Vec<BalancerNode>,
     targets: Vec<DemoTarget>,
     fabrics: Vec<FabricStandIn>,
-    tally: Arc<DemoTally>,
+    counters: Arc<DemoCounters>,
     callers: JoinSet<()>,
     stop: StopSignal,
     trigger: StopTrigger,
 }
 
-/// Runs the demo for about `seconds` and returns what it counted.
+/// Runs the demo for about `seconds` and returns the results.
 ///
-/// Its files go into `folder`, which should outlast the runtime.
-/// `progress` is called with a line whenever there is something to tell.
+/// Files are written to `folder`, which should outlive the runtime.
+/// `progress` is called with one line per step.
 ///
 /// # Errors
 ///
@@ -54,50 +54,50 @@
     seconds: u64,
     progress: impl Fn(&str) + Sync,
 ) -> Result<DemoReport, DemoError> {
-    let part = Duration::from_secs(seconds.max(LEAST_DEMO_SECONDS)) / PARTS;
+    let phase_time = Duration::from_secs(seconds.max(LEAST_DEMO_SECONDS)) / PHASES;
     progress("starting control replicas, balancers, agents and upstreams");
-    let mut stage = DemoStage::start(folder).await?;
-    let streams = stage.open_streams().await?;
-    stage.start_callers()?;
+    let mut run = DemoRun::start(folder).await?;
+    let streams = run.open_streams().await?;
+    run.start_callers()?;
     progress("requests and streams are running");
-    tokio::time::sleep(part).await;
+    tokio::time::sleep(phase_time).await;
 
-    let in_force = stage.apply_second().await?;
+    let in_force = run.apply_second_manifest().await?;
     progress(&match in_force {
         Some(millis) => format!("manifest version 2 in force on every balancer after {millis} ms"),
         None => "manifest version 2 is not in force everywhere".to_owned(),
     });
-    tokio::time::sleep(part).await;
+    tokio::time::sleep(phase_time).await;
 
-    drain(&stage.targets[0]).await;
+    drain(&run.targets[0]).await;
     progress("draining one upstream of barge-control");
-    tokio::time::sleep(part).await;
-    stage.stop_balancer().await;
-    progress("one balancer is gone");
-    tokio::time::sleep(part).await;
-    let late_work = late_work(&stage.targets[0], part).await;
-    stage.add_balancer().await?;
+    tokio::time::sleep(phase_time).await;
+    run.stop_balancer().await;
+    progress("one balancer has stopped");
+    tokio::time::sleep(phase_time).await;
+    let late_work = count_late_requests(&run.targets[0], phase_time).await;
+    run.add_balancer().await?;
     progress("a new balancer has joined");
-    tokio::time::sleep(part).await;
+    tokio::time::sleep(phase_time).await;
 
-    stage.trigger.stop();
-    while stage.callers.join_next().await.is_some() {}
-    progress("counting");
-    let mut report = audit(&stage.tally, &stage.targets).await;
+    run.trigger.stop();
+    while run.callers.join_next().await.is_some() {}
+    progress("collecting the results");
+    let mut report = build_report(&run.counters, &run.targets).await;
     report.streams = streams;
     report.late_work = late_work;
     report.in_force_ms = in_force;
     Ok(report)
 }
 
-impl DemoStage {
+impl DemoRun {
     async fn start(folder: &Path) -> Result<Self, DemoError> {
         let mut site = DemoSite::new(folder)?;
         let client = site.start_control()?;
         let request = ApplyRequest {
             manifest: demo_manifest(&site, 1),
         };
-        eventually("the control group", async || {
+        wait_until("the control group", async || {
             client.apply(&request).await.is_ok()
         })
         .await?;
@@ -111,8 +111,10 @@
                 targets.push(site.start_target(service.name, index).await?);
             }
         }
-        eventually("the routes on every balancer", async || {
-            balancers.iter().all(|node| knows(node, targets.len()))
+        wait_until("the routes on every balancer", async || {
+            balancers
+                .iter()
+                .all(|node| has_all_routes(node, targets.len()))
         })
         .await?;
         let fabrics = site.start_fabrics().await?;
@@ -123,14 +125,14 @@
             balancers,
             targets,
             fabrics,
-            tally: Arc::new(DemoTally::default()),
+            counters: Arc::new(DemoCounters::default()),
             callers: JoinSet::new(),
             stop,
             trigger,
         })
     }
 
-    /// Opens the streams that are to last until the end; returns how many.
+    /// Opens the streams that last until the end; returns their number.
     async fn open_streams(&mut self) -> Result<u64, DemoError> {
         let mut count = 0;
         for index in 0..SERVICES.len() {
@@ -156,10 +158,10 @@
             let Ok(stream) = caller.open(CallRequest::new("GET", "/lines")).await else {
                 continue;
             };
-            let tally = Arc::clone(&self.tally);
+            let counters = Arc::clone(&self.counters);
             let stop = self.stop.clone();
             self.callers
-                .spawn(follow_stream(service, caller, stream, tally, stop));
+                .spawn(follow_stream(service, caller, stream, counters, stop));
             return Ok(());
         }
         Err(late)
@@ -169,45 +171,46 @@
         for index in 0..SERVICES.len() {
             for number in 0..CALLERS {
                 let service = self.site.service(index)?;
-                let tally = Arc::clone(&self.tally);
+                let counters = Arc::clone(&self.counters);
                 let stop = self.stop.clone();
                 self.callers
-                    .spawn(send_requests(service, number, tally, stop));
+                    .spawn(send_requests(service, number, counters, stop));
             }
         }
         Ok(())
     }
 
-    /// Applies the second manifest; returns when it was in force everywhere.
-    async fn apply_second(&self) -> Result<Option<u64>, DemoError> {
+    /// Applies the second manifest; returns the milliseconds until it was in force on
+    /// every balancer.
+    async fn apply_second_manifest(&self) -> Result<Option<u64>, DemoError> {
         let manifest = demo_manifest(&self.site, 2);
-        wait_in_force(&self.client, manifest, &self.balancers).await
+        apply_and_wait(&self.client, manifest, &self.balancers).await
     }
 
-    /// Stops a balancer; the fabric notices a little later.
+    /// Stops a balancer; the fabric still sends to it for `FABRIC_LAG`.
     async fn stop_balancer(&mut self) {
         drop(self.balancers.remove(0));
         tokio::time::sleep(FABRIC_LAG).await;
         let left: Vec<u8> = (1..BALANCERS).collect();
-        self.site.spray(&self.fabrics, &left);
+        self.site.send_to_balancers(&self.fabrics, &left);
     }
 
-    /// Starts a balancer that knows nothing yet, and hands it datagrams.
+    /// Starts a balancer without state and, once it has all routes, sends it datagrams.
     async fn add_balancer(&mut self) -> Result<(), DemoError> {
         let node = self.site.start_balancer(BALANCERS)?;
-        eventually("the new balancer", async || {
-            knows(&node, self.targets.len())
+        wait_until("the new balancer", async || {
+            has_all_routes(&node, self.targets.len())
         })
         .await?;
         self.balancers.push(node);
         let all: Vec<u8> = (1..=BALANCERS).collect();
-        self.site.spray(&self.fabrics, &all);
+        self.site.send_to_balancers(&self.fabrics, &all);
         Ok(())
     }
 }
 
-/// Returns whether a balancer listens for each service and knows the targets.
-fn knows(node: &BalancerNode, targets: usize) -> bool {
+/// Returns whether a balancer listens for all services and has `targets` targets.
+fn has_all_routes(node: &BalancerNode, targets: usize) -> bool {
     let dump = node.dump();
     let known: usize = dump
         .services
@@ -217,7 +220,7 @@
     dump.ports.len() == SERVICES.len() && known == targets
 }
 
-async fn eventually<F>(what: &'static str, mut is_true: impl FnMut() -> F) -> Result<(), DemoError>
+async fn wait_until<F>(what: &'static str, mut is_true: impl FnMut() -> F) -> Result<(), DemoError>
 where
     F: Future<Output = bool>,
 {
@@ -229,7 +232,7 @@
                 seconds: START_SECONDS,
             });
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
--- a/src/demo/demo_site.rs
+++ b/src/demo/demo_site.rs
@@ -24,23 +24,23 @@
     tls::{CertificateFiles, ServerTrust, TestCertificate},
 };
 
-/// The time for which connection IDs are used.
-const ID_LIFE_MILLIS: SpanMillis = SpanMillis::new(600_000);
-/// The port of the first service; the others follow.
+/// How long connection IDs stay in use.
+const CONNECTION_ID_LIFE: SpanMillis = SpanMillis::new(600_000);
+/// The port of the first service; the next services have the ports after it.
 const FIRST_PORT: u16 = 4433;
 
-/// A target of the demo: an upstream with its agent.
+/// An upstream and its agent.
 #[derive(Debug)]
 pub(super) struct DemoTarget {
     /// The name of its service.
     pub(super) service: &'static str,
     /// The stand-in of the upstream.
     pub(super) upstream: UpstreamStandIn,
-    /// The agent beside it.
+    /// The upstream's agent.
     pub(super) agent: AgentNode,
 }
 
-/// The whole site of the demo, in this process and on loopback.
+/// The demo site, in this process and on loopback.
 #[derive(Debug)]
 pub(super) struct DemoSite {
     folder: PathBuf,
@@ -50,13 +50,13 @@
 }
 
 impl DemoSite {
-    /// Writes the secret and the certificate into `folder`.
+    /// Creates a site and writes its secret and certificate into `folder`.
     pub(super) fn new(folder: &Path) -> Result<Self, DemoError> {
         let names: Vec<&str> = SERVICES.iter().map(|service| service.name).collect();
         let certificates = TestCertificate::new(&names)?.write(folder)?;
         let text = serde_json::to_string(&DeploymentSecret::random(1)).unwrap_or_default();
         write_private(&folder.join("secret.json"), &text)
-            .map_err(prepare("the deployment secret"))?;
+            .map_err(preparing("the deployment secret"))?;
         Ok(Self {
             folder: folder.to_owned(),
             block: rand::random(),
@@ -65,13 +65,13 @@
         })
     }
 
-    /// Starts the control replicas and returns a client of them.
+    /// Starts the control replicas and returns a client for them.
     pub(super) fn start_control(&mut self) -> Result<ControlClient, DemoError> {
         for replica in 1..=CONTROL_REPLICAS {
             let settings = self.control_settings(replica);
-            fs::create_dir_all(&settings.data_folder).map_err(prepare("a data folder"))?;
+            fs::create_dir_all(&settings.data_folder).map_err(preparing("a data folder"))?;
             self.control.spawn(async move {
-                // A replica that fails is missed by the client's calls.
+                // A failed replica shows in the client's calls.
                 let _ = run_control(settings).await;
             });
         }
@@ -107,7 +107,7 @@
         let name = format!("{service}-{index}");
         let upstream = UpstreamStandIn::start(&name, SocketAddrV4::new(ip, 0))
             .await
-            .map_err(prepare("an upstream"))?;
+            .map_err(preparing("an upstream"))?;
         let settings = AgentSettings {
             name,
             domain: domain(index),
@@ -119,7 +119,7 @@
             control: self.control_addresses(),
             secret_file: self.secret_file(),
             tls: self.certificates.clone(),
-            connection_id_life: ID_LIFE_MILLIS,
+            connection_id_life: CONNECTION_ID_LIFE,
             admin_listen: None,
             metrics_listen: None,
             log_format: LogFormat::Text,
@@ -131,7 +131,7 @@
         })
     }
 
-    /// Starts the fabric of each service, before the first balancers.
+    /// Starts the fabric of each service, with the first balancers.
     pub(super) async fn start_fabrics(&self) -> Result<Vec<FabricStandIn>, DemoError> {
         let balancers: Vec<u8> = (0..BALANCERS).collect();
         let mut fabrics = Vec::new();
@@ -140,20 +140,20 @@
             let listeners = self.listeners(index, &balancers);
             let fabric = FabricStandIn::start(address, self.ip(3), listeners)
                 .await
-                .map_err(prepare("the fabric"))?;
+                .map_err(preparing("the fabric"))?;
             fabrics.push(fabric);
         }
         Ok(fabrics)
     }
 
-    /// Hands the datagrams of every service to these balancers from now on.
-    pub(super) fn spray(&self, fabrics: &[FabricStandIn], balancers: &[u8]) {
+    /// Sends the datagrams of all services to these balancers from now on.
+    pub(super) fn send_to_balancers(&self, fabrics: &[FabricStandIn], balancers: &[u8]) {
         for (index, fabric) in fabrics.iter().enumerate() {
             fabric.set_balancers(self.listeners(index, balancers));
         }
     }
 
-    /// Returns where callers reach a service.
+    /// Returns what callers need to reach a service.
     pub(super) fn service(&self, index: usize) -> Result<DemoService, DemoError> {
         Ok(DemoService {
             name: SERVICES[index].name,
@@ -162,7 +162,6 @@
         })
     }
 
-    /// Returns the address of a service.
     pub(super) fn service_address(&self, index: usize) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip(1), service_port(index))
     }
@@ -214,13 +213,13 @@
         self.folder.join("secret.json")
     }
 
-    /// Returns an address of the loopback block that this demo drew.
+    /// Returns an address in the loopback block 127.x.y.0/24 of this demo.
     fn ip(&self, last: u8) -> Ipv4Addr {
         Ipv4Addr::new(127, self.block.0, self.block.1, last)
     }
 }
 
-/// Returns the manifest of the demo; its second version has other limits.
+/// Returns a version of the manifest; versions differ in the queue limits.
 pub(super) fn demo_manifest(site: &DemoSite, version: u64) -> Manifest {
     let services = SERVICES.iter().enumerate().map(|(index, service)| {
         let mut spec = service.spec(site.service_address(index));
@@ -242,6 +241,6 @@
     DomainName::new(REGION, DOMAINS[usize::from(index) % DOMAINS.len()])
 }
 
-fn prepare(what: &'static str) -> impl Fn(io::Error) -> DemoError {
+fn preparing(what: &'static str) -> impl Fn(io::Error) -> DemoError {
     move |cause| DemoError::Prepare { what, cause }
 }
--- a/src/demo/demo_tasks.rs
+++ b/src/demo/demo_tasks.rs
@@ -2,9 +2,9 @@
 
 use super::{
     DemoError, DemoReport,
+    demo_counters::{DemoCounters, RequestOutcome},
     demo_plan::SERVICES,
     demo_site::DemoTarget,
-    demo_tally::{DemoTally, RequestOutcome},
 };
 use crate::{
     agent::drain::{DrainEvent, DrainGoal},
@@ -13,13 +13,14 @@
     manifest::Manifest,
 };
 
-/// The longest time that a manifest may take.
+/// The longest time until a manifest must be in force on every balancer.
 const IN_FORCE_LIMIT: Duration = Duration::from_secs(7);
-/// The pause between two looks at the balancers.
-const LOOK_PAUSE: Duration = Duration::from_millis(2);
+/// The interval between two checks of the balancers.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Applies a manifest; returns the milliseconds until every balancer had it.
-pub(super) async fn wait_in_force(
+/// Applies a manifest; returns the milliseconds until every balancer had it, or none
+/// after the limit.
+pub(super) async fn apply_and_wait(
     client: &ControlClient,
     manifest: Manifest,
     balancers: &[BalancerNode],
@@ -28,57 +29,57 @@
     let version = manifest.version;
     client.apply(&ApplyRequest { manifest }).await?;
     while start.elapsed() < IN_FORCE_LIMIT {
-        let lags = |node: &BalancerNode| node.dump().manifest_version < version;
-        if !balancers.iter().any(lags) {
+        let is_behind = |node: &BalancerNode| node.dump().manifest_version < version;
+        if !balancers.iter().any(is_behind) {
             return Ok(u64::try_from(start.elapsed().as_millis()).ok());
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(None)
 }
 
-/// Begins the planned stop of a target, which stays until its streams end.
+/// Starts the drain of a target; its agent keeps running.
 pub(super) async fn drain(target: &DemoTarget) {
     let event = DrainEvent::Begin {
         goal: DrainGoal::Stay,
         deadline: None,
     };
-    // An agent that is gone shows in the streams that it cut.
+    // If the agent has stopped, its cut streams show it.
     let _ = target.agent.order(event).await;
 }
 
-/// Returns the requests that reach a drained upstream within `span`.
-pub(super) async fn late_work(target: &DemoTarget, span: Duration) -> u64 {
+/// Counts the requests that reach a drained upstream within `span`.
+pub(super) async fn count_late_requests(target: &DemoTarget, span: Duration) -> u64 {
     let before = target.upstream.requests();
     tokio::time::sleep(span).await;
     target.upstream.requests() - before
 }
 
-/// Gathers the counts of callers, upstreams and agents.
-pub(super) async fn audit(tally: &DemoTally, targets: &[DemoTarget]) -> DemoReport {
+/// Builds the report from the counts of callers, upstreams and agents.
+pub(super) async fn build_report(counters: &DemoCounters, targets: &[DemoTarget]) -> DemoReport {
     let mut run_twice = 0;
     let mut ran_though_refused = 0;
-    let mut foreign_frames = 0;
+    let mut misrouted_frames = 0;
     for target in targets {
         for (id, count) in target.upstream.runs() {
             run_twice += u64::from(count > 1);
-            ran_though_refused += u64::from(tally.was_refused(&id));
+            ran_though_refused += u64::from(counters.is_refused_command(&id));
         }
-        foreign_frames += target.agent.dump().await.tunnel.other_service;
+        misrouted_frames += target.agent.dump().await.tunnel.other_service;
     }
-    run_twice += spread_runs(targets);
+    run_twice += count_runs_elsewhere(targets);
     DemoReport {
-        requests: tally.requests(),
-        answered: tally.read(RequestOutcome::Answered),
-        refused_not_run: tally.read(RequestOutcome::NotRun),
-        failed: tally.read(RequestOutcome::Failed),
-        unconnected: tally.unconnected(),
-        slowest_connect_ms: tally.slowest_connect_millis(),
-        broken_flows: tally.broken_streams() + tally.read(RequestOutcome::Cut),
-        cuts: tally.cuts(),
+        requests: counters.requests(),
+        answered: counters.outcome_count(RequestOutcome::Answered),
+        refused_not_run: counters.outcome_count(RequestOutcome::NotRun),
+        failed: counters.outcome_count(RequestOutcome::Failed),
+        unconnected: counters.unconnected(),
+        slowest_connect_ms: counters.slowest_connect_millis(),
+        broken_flows: counters.broken_streams() + counters.outcome_count(RequestOutcome::Cut),
+        cuts: counters.cut_causes(),
         streams: 0,
-        stream_lines: tally.lines(),
-        misrouted: tally.read(RequestOutcome::Misrouted) + foreign_frames,
+        stream_lines: counters.lines(),
+        misrouted: counters.outcome_count(RequestOutcome::Misrouted) + misrouted_frames,
         run_twice,
         ran_though_refused,
         late_work: 0,
@@ -87,8 +88,8 @@
     }
 }
 
-/// Returns the commands that ran at more than one upstream.
-fn spread_runs(targets: &[DemoTarget]) -> u64 {
+/// Counts the runs of commands that had already run at another upstream.
+fn count_runs_elsewhere(targets: &[DemoTarget]) -> u64 {
     let mut seen = std::collections::BTreeSet::new();
     let ids = targets
         .iter()
@@ -96,9 +97,9 @@
     ids.map(|id| u64::from(!seen.insert(id))).sum()
 }
 
-/// Returns the busiest target over the mean of its service, the worst service's.
+/// Returns the largest ratio of the busiest target to the mean, over all services.
 ///
-/// The drained target, which is the first, is left out.
+/// The first target is left out, as it is drained.
 fn imbalance(targets: &[DemoTarget]) -> f64 {
     let worst = SERVICES.iter().map(|service| {
         let counts: Vec<u64> = targets
--- a/src/demo/fabric_stand_in.rs
+++ b/src/demo/fabric_stand_in.rs
@@ -10,14 +10,14 @@
 
 use tokio::{net::UdpSocket, task::JoinSet};
 
-/// The longest datagram that the fabric carries, in bytes.
-const LONGEST_DATAGRAM_BYTES: usize = 2_048;
+/// The longest datagram carried, in bytes; longer ones are truncated.
+const MAX_DATAGRAM_BYTES: usize = 2_048;
 
-/// A stand-in of the network fabric before the balancers of one service.
+/// A stand-in for the network fabric in front of the balancers of one service.
 ///
-/// It owns the service's address and hands every datagram of a caller to a
-/// balancer drawn at random. Each caller appears to the balancers under an
-/// address of its own, and answers leave from the service's address.
+/// It is bound to the service address and forwards each datagram of a caller to a
+/// random balancer. Each caller has its own source address towards the balancers,
+/// and answers are sent from the service address.
 #[derive(Debug)]
 pub struct FabricStandIn {
     shared: Arc<FabricShared>,
@@ -33,9 +33,9 @@
 }
 
 impl FabricStandIn {
-    /// Starts the fabric of the service at `service` within the runtime.
+    /// Starts the fabric of the service at `service`, as tasks of the current runtime.
     ///
-    /// Callers appear under ports of `source_ip`.
+    /// Each caller gets a source port on `source_ip`.
     ///
     /// # Errors
     ///
@@ -52,14 +52,14 @@
             carried: AtomicU64::new(0),
         });
         let mut tasks = JoinSet::new();
-        tasks.spawn(carry_from_callers(Arc::clone(&shared)));
+        tasks.spawn(forward_from_callers(Arc::clone(&shared)));
         Ok(Self {
             shared,
             _tasks: tasks,
         })
     }
 
-    /// Puts another set of balancers in force, from the next datagram on.
+    /// Replaces the balancers, from the next datagram on.
     pub fn set_balancers(&self, balancers: Vec<SocketAddrV4>) {
         *self
             .shared
@@ -68,7 +68,7 @@
             .unwrap_or_else(PoisonError::into_inner) = balancers;
     }
 
-    /// Returns the number of datagrams that went to balancers.
+    /// Returns the number of datagrams forwarded to balancers.
     #[must_use]
     pub fn carried(&self) -> u64 {
         self.shared.carried.load(Ordering::Relaxed)
@@ -76,7 +76,7 @@
 }
 
 impl FabricShared {
-    fn draw_balancer(&self) -> Option<SocketAddrV4> {
+    fn pick_balancer(&self) -> Option<SocketAddrV4> {
         let balancers = self
             .balancers
             .lock()
@@ -89,12 +89,12 @@
     }
 }
 
-async fn carry_from_callers(shared: Arc<FabricShared>) {
+async fn forward_from_callers(shared: Arc<FabricShared>) {
     let mut callers: HashMap<SocketAddr, Arc<UdpSocket>> = HashMap::new();
     let mut answers = JoinSet::new();
-    let mut datagram = [0; LONGEST_DATAGRAM_BYTES];
+    let mut datagram = [0; MAX_DATAGRAM_BYTES];
     loop {
-        // An unreachable peer shows up as an error here; the fabric goes on.
+        // An unreachable peer can cause an error here, which is not fatal.
         let Ok((length, caller)) = shared.service.recv_from(&mut datagram).await else {
             continue;
         };
@@ -107,19 +107,19 @@
             };
             let socket = Arc::new(socket);
             callers.insert(caller, Arc::clone(&socket));
-            let answer = carry_answers(Arc::clone(&shared), Arc::clone(&socket), caller);
+            let answer = forward_answers(Arc::clone(&shared), Arc::clone(&socket), caller);
             answers.spawn(answer);
             socket
         };
-        if let Some(balancer) = shared.draw_balancer() {
+        if let Some(balancer) = shared.pick_balancer() {
             shared.carried.fetch_add(1, Ordering::Relaxed);
             let _ = socket.send_to(&datagram[..length], balancer).await;
         }
     }
 }
 
-async fn carry_answers(shared: Arc<FabricShared>, socket: Arc<UdpSocket>, caller: SocketAddr) {
-    let mut datagram = [0; LONGEST_DATAGRAM_BYTES];
+async fn forward_answers(shared: Arc<FabricShared>, socket: Arc<UdpSocket>, caller: SocketAddr) {
+    let mut datagram = [0; MAX_DATAGRAM_BYTES];
     loop {
         if let Ok((length, _)) = socket.recv_from(&mut datagram).await {
             let _ = shared.service.send_to(&datagram[..length], caller).await;
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -1,12 +1,12 @@
-//! The demo of a whole site in one process, and the stand-ins around it.
+//! A demo that runs a whole site in one process, with stand-ins for fabric and upstreams.
 
+mod demo_counters;
 mod demo_error;
 mod demo_load;
 mod demo_plan;
 mod demo_report;
 mod demo_run;
 mod demo_site;
-mod demo_tally;
 mod demo_tasks;
 mod fabric_stand_in;
 mod upstream_stand_in;
--- a/src/demo/tests.rs
+++ b/src/demo/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of what the demo counts.
+//! Tests of the checks and figures of the demo report.
 
 use rstest::rstest;
 
 use super::{DemoReport, demo_load::LineReader, demo_tasks::ratio};
 
-fn kept_report() -> DemoReport {
+fn passing_report() -> DemoReport {
     DemoReport {
         requests: 10,
         answered: 10,
@@ -26,7 +26,7 @@
 }
 
 #[rstest]
-#[case::kept(|_: &mut DemoReport| (), true)]
+#[case::all_pass(|_: &mut DemoReport| (), true)]
 #[case::broken(|it: &mut DemoReport| it.broken_flows = 1, false)]
 #[case::misrouted(|it: &mut DemoReport| it.misrouted = 1, false)]
 #[case::twice(|it: &mut DemoReport| it.run_twice = 1, false)]
@@ -34,10 +34,10 @@
 #[case::late(|it: &mut DemoReport| it.late_work = 1, false)]
 #[case::silent(|it: &mut DemoReport| it.answered = 0, false)]
 #[case::never(|it: &mut DemoReport| it.in_force_ms = None, false)]
-fn any_broken_promise_shows(#[case] change: fn(&mut DemoReport), #[case] kept: bool) {
-    let mut report = kept_report();
+fn any_failed_check_fails_the_report(#[case] change: fn(&mut DemoReport), #[case] passes: bool) {
+    let mut report = passing_report();
     change(&mut report);
-    assert_eq!(report.is_kept(), kept);
+    assert_eq!(report.is_kept(), passes);
 }
 
 #[rstest]
@@ -46,16 +46,16 @@
 #[case::gap(&["a 0\n", "a 2\n"], false)]
 #[case::repeated(&["a 0\n", "a 0\n"], false)]
 #[case::crossed(&["a 0\n", "b 1\n"], false)]
-fn a_stream_must_count_on(#[case] parts: &[&str], #[case] whole: bool) {
+fn a_stream_must_be_complete_and_in_order(#[case] parts: &[&str], #[case] whole: bool) {
     let mut reader = LineReader::default();
-    let kept = parts
+    let is_complete = parts
         .iter()
-        .all(|part| reader.take(part.as_bytes()).is_some());
-    assert_eq!(kept, whole);
+        .all(|part| reader.read_part(part.as_bytes()).is_some());
+    assert_eq!(is_complete, whole);
 }
 
 #[test]
-fn the_busiest_target_is_held_against_the_mean() {
+fn the_busiest_target_is_compared_with_the_mean() {
     assert!((ratio(&[30, 10, 20]) - 1.5).abs() < 1e-9);
     assert!((ratio(&[]) - 1.0).abs() < 1e-9);
 }
--- a/src/demo/upstream_stand_in.rs
+++ b/src/demo/upstream_stand_in.rs
@@ -22,18 +22,18 @@
 
 /// The pause between two lines of a stream.
 const LINE_PAUSE: Duration = Duration::from_millis(50);
-/// The longest body that is made on request, in bytes.
-const LONGEST_BODY_BYTES: usize = 64 << 20;
-/// The lines of a stream that wait for a slow reader.
-const WAITING_LINES: usize = 4;
+/// The largest body of `/bytes/N`.
+const MAX_BODY_BYTES: usize = 64 << 20;
+/// The lines of a stream that are buffered for a slow reader.
+const BUFFERED_LINES: usize = 4;
 
 type AnswerBody = BoxBody<Bytes, Infallible>;
 
-/// A stand-in of an upstream: a small HTTP/1.1 server.
+/// A stand-in for an upstream: a small HTTP/1.1 server.
 ///
-/// `/name` answers its name, `/echo` the request's body, `/bytes/N` a body of
-/// N bytes, `/slow/MS` after a pause, `/lines` a stream without end. `/run/ID`
-/// counts how often each ID ran.
+/// `/name` returns its name, `/echo` the request body, `/bytes/N` a body of N bytes,
+/// `/slow/MS` its name after MS milliseconds, and `/lines` an endless stream of
+/// numbered lines. `/run/ID` returns how often this ID has run.
 #[derive(Debug)]
 pub struct UpstreamStandIn {
     shared: Arc<UpstreamShared>,
@@ -49,7 +49,7 @@
 }
 
 impl UpstreamStandIn {
-    /// Starts the server within the runtime.
+    /// Starts the server as tasks of the current runtime.
     ///
     /// # Errors
     ///
@@ -73,19 +73,19 @@
         })
     }
 
-    /// Returns where the server listens.
+    /// Returns the listen address.
     #[must_use]
     pub fn address(&self) -> SocketAddrV4 {
         self.address
     }
 
-    /// Returns the number of requests that arrived.
+    /// Returns the number of requests received.
     #[must_use]
     pub fn requests(&self) -> u64 {
         self.shared.requests.load(Ordering::Relaxed)
     }
 
-    /// Returns how often each ID ran.
+    /// Returns the number of runs of each ID.
     #[must_use]
     pub fn runs(&self) -> BTreeMap<String, u32> {
         self.shared.lock_runs().clone()
@@ -107,7 +107,7 @@
         let shared = Arc::clone(&shared);
         connections.spawn(async move {
             let service = service_fn(move |request| answer_request(request, Arc::clone(&shared)));
-            // A connection that breaks concerns its peer alone.
+            // A failed connection affects only its peer.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -122,16 +122,16 @@
 ) -> Result<Response<AnswerBody>, hyper::Error> {
     shared.requests.fetch_add(1, Ordering::Relaxed);
     let path = request.uri().path().to_owned();
-    let mut parts = path.trim_start_matches('/').splitn(2, '/');
-    let (kind, argument) = (
-        parts.next().unwrap_or_default(),
-        parts.next().unwrap_or_default(),
+    let mut segments = path.trim_start_matches('/').splitn(2, '/');
+    let (endpoint, argument) = (
+        segments.next().unwrap_or_default(),
+        segments.next().unwrap_or_default(),
     );
     let body = request.into_body().collect().await?.to_bytes();
-    let answer = match kind {
+    let answer = match endpoint {
         "name" => whole_answer(shared.name.clone().into()),
         "echo" => whole_answer(body),
-        "bytes" => whole_answer(made_body(argument)),
+        "bytes" => whole_answer(generate_body(argument)),
         "slow" => {
             let millis = argument.parse().unwrap_or(0);
             tokio::time::sleep(Duration::from_millis(millis)).await;
@@ -157,14 +157,14 @@
     Response::new(Full::new(body).boxed())
 }
 
-/// Returns a body whose bytes tell their place, so that a gap shows.
-fn made_body(length: &str) -> Bytes {
-    let length = length.parse().unwrap_or(0).min(LONGEST_BODY_BYTES);
+/// Returns a body of repeating numbers, so that a missing part is detected.
+fn generate_body(length: &str) -> Bytes {
+    let length = length.parse().unwrap_or(0).min(MAX_BODY_BYTES);
     (0..=250).cycle().take(length).collect()
 }
 
 fn stream_answer(name: &str) -> Response<AnswerBody> {
-    let (sender, receiver) = mpsc::channel::<Bytes>(WAITING_LINES);
+    let (sender, receiver) = mpsc::channel::<Bytes>(BUFFERED_LINES);
     let name = name.to_owned();
     tokio::spawn(async move {
         for line in 0u64.. {
@@ -181,7 +181,7 @@
     Response::new(LineBody { receiver }.boxed())
 }
 
-/// A body whose parts come from a task.
+/// A body whose frames are sent by a task.
 struct LineBody {
     receiver: mpsc::Receiver<Bytes>,
 }
