--- a/src/lab/cost/relay_cost.rs
+++ b/src/lab/cost/relay_cost.rs
@@ -137,11 +137,11 @@
     counter
         .join()
         .map_err(|_| io::Error::from(io::ErrorKind::Other))?;
-    let received = arrived.load(Ordering::Relaxed).min(packets);
+    let delivered = arrived.load(Ordering::Relaxed).min(packets);
     Ok(RelayTrial {
-        cpu_nanos: cpu_nanos as f64 / received.max(1) as f64,
-        packets_per_second: received as f64 / elapsed.as_secs_f64(),
-        lost_share: 1.0 - received as f64 / packets as f64,
+        cpu_nanos: cpu_nanos as f64 / delivered.max(1) as f64,
+        packets_per_second: delivered as f64 / elapsed.as_secs_f64(),
+        lost_share: 1.0 - delivered as f64 / packets as f64,
     })
 }
 
--- a/src/lab/model/fault_step.rs
+++ b/src/lab/model/fault_step.rs
@@ -69,9 +69,9 @@
         }
     }
 
-    /// Counts requests whose home is lost as of unknown outcome, wherever they run.
+    /// Counts the open requests of a lost home as unknown, also those that run at peers.
     ///
-    /// Requests in the central queue are kept: they wait at no target.
+    /// Requests in the central queue do not count: they wait at no target.
     fn count_orphaned_requests(&mut self, target: usize) {
         let is_orphaned = |request: &ModelRequest| {
             let is_central = self.setup.relay == RelayRule::CentralQueue;
--- a/src/lab/model/run_metrics.rs
+++ b/src/lab/model/run_metrics.rs
@@ -35,7 +35,7 @@
     pub(crate) moved: u64,
     /// First packets sent to a candidate after the first one.
     pub(crate) passed_on: u64,
-    /// Messages between agents about requests.
+    /// Messages between agents, without first packets.
     pub(crate) messages: u64,
 }
 
--- a/src/lab/model/run_setup.rs
+++ b/src/lab/model/run_setup.rs
@@ -19,7 +19,7 @@
     pub(crate) relay: RelayRule,
     /// The offered load in percent of all slots.
     pub(crate) load_percent: u32,
-    /// The number of callers that connect during the warm-up.
+    /// The number of callers that connect in the first half of the warm-up.
     pub(crate) callers: usize,
     /// The shortest delay of a message between failure domains.
     pub(crate) domain_delay: ModelMicros,
--- a/src/lab/model/target_station.rs
+++ b/src/lab/model/target_station.rs
@@ -122,7 +122,7 @@
         now: ClockMillis,
     ) -> Vec<StationEvent> {
         let (verdict, displaced) = self.slots.request(request, now);
-        let mut events = self.to_station_events(displaced);
+        let mut events = self.resolve_slot_events(displaced);
         match verdict {
             SlotVerdict::Run(slot) => events.push(StationEvent::Slot(entry, slot)),
             SlotVerdict::Refuse(_) => events.push(StationEvent::Refused(entry)),
@@ -137,13 +137,13 @@
     /// Releases a slot in which nothing ran.
     pub(crate) fn release_unused(&mut self, slot: SlotKey, now: ClockMillis) -> Vec<StationEvent> {
         let events = self.slots.release_unused(slot, now);
-        self.to_station_events(events)
+        self.resolve_slot_events(events)
     }
 
     /// Releases a slot after a run.
     pub(crate) fn release(&mut self, slot: SlotKey, now: ClockMillis) -> Vec<StationEvent> {
         let events = self.slots.release(slot, now);
-        self.to_station_events(events)
+        self.resolve_slot_events(events)
     }
 
     /// Removes the queue entry of a request.
@@ -210,7 +210,7 @@
         lost
     }
 
-    fn to_station_events(&mut self, events: Vec<SlotEvent>) -> Vec<StationEvent> {
+    fn resolve_slot_events(&mut self, events: Vec<SlotEvent>) -> Vec<StationEvent> {
         let mut translated = Vec::with_capacity(events.len());
         for event in events {
             let (waiter, slot) = match event {
