--- a/src/demo/demo_error.rs
+++ b/src/demo/demo_error.rs
@@ -42,7 +42,7 @@
     Agent(#[from] AgentError),
     /// A part of the site did not start in time.
     #[error("{what} did not come up within {seconds} s")]
-    Late {
+    StartTimeout {
         /// What was waited for.
         what: &'static str,
         /// The timeout.
--- a/src/demo/demo_load.rs
+++ b/src/demo/demo_load.rs
@@ -68,7 +68,7 @@
             }
             number += 1;
             let id = format!("{}-{caller_number}-{number}", service.name);
-            if !send_one(&service, &caller, number, &id, &counters).await {
+            if !send_request(&service, &caller, number, &id, &counters).await {
                 break;
             }
             tokio::time::sleep(REQUEST_PAUSE).await;
@@ -79,7 +79,7 @@
 }
 
 /// Sends a lookup or a command; returns whether the connection is still usable.
-async fn send_one(
+async fn send_request(
     service: &DemoService,
     caller: &ServiceCaller,
     number: u64,
--- a/src/demo/demo_run.rs
+++ b/src/demo/demo_run.rs
@@ -146,7 +146,7 @@
     }
 
     async fn open_stream(&mut self, service: DemoService) -> Result<(), DemoError> {
-        let late = DemoError::Late {
+        let timeout = DemoError::StartTimeout {
             what: "a stream",
             seconds: START_SECONDS,
         };
@@ -164,7 +164,7 @@
                 .spawn(follow_stream(service, caller, stream, counters, stop));
             return Ok(());
         }
-        Err(late)
+        Err(timeout)
     }
 
     fn start_callers(&mut self) -> Result<(), DemoError> {
@@ -191,8 +191,8 @@
     async fn stop_balancer(&mut self) {
         drop(self.balancers.remove(0));
         tokio::time::sleep(FABRIC_LAG).await;
-        let left: Vec<u8> = (1..BALANCERS).collect();
-        self.site.send_to_balancers(&self.fabrics, &left);
+        let remaining: Vec<u8> = (1..BALANCERS).collect();
+        self.site.send_to_balancers(&self.fabrics, &remaining);
     }
 
     /// Starts a balancer without state and, once it has all routes, sends it datagrams.
@@ -227,7 +227,7 @@
     let deadline = tokio::time::Instant::now() + Duration::from_secs(START_SECONDS);
     while !is_true().await {
         if tokio::time::Instant::now() >= deadline {
-            return Err(DemoError::Late {
+            return Err(DemoError::StartTimeout {
                 what,
                 seconds: START_SECONDS,
             });
--- a/src/demo/demo_site.rs
+++ b/src/demo/demo_site.rs
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 pub(super) struct DemoSite {
     folder: PathBuf,
-    block: (u8, u8),
+    loopback_block: (u8, u8),
     certificates: CertificateFiles,
     control: JoinSet<()>,
 }
@@ -59,7 +59,7 @@
             .map_err(preparing("the deployment secret"))?;
         Ok(Self {
             folder: folder.to_owned(),
-            block: rand::random(),
+            loopback_block: rand::random(),
             certificates,
             control: JoinSet::new(),
         })
@@ -137,8 +137,8 @@
         let mut fabrics = Vec::new();
         for index in 0..SERVICES.len() {
             let address = self.service_address(index);
-            let listeners = self.listeners(index, &balancers);
-            let fabric = FabricStandIn::start(address, self.ip(3), listeners)
+            let listener_addresses = self.listener_addresses(index, &balancers);
+            let fabric = FabricStandIn::start(address, self.ip(3), listener_addresses)
                 .await
                 .map_err(preparing("the fabric"))?;
             fabrics.push(fabric);
@@ -149,7 +149,7 @@
     /// Sends the datagrams of all services to these balancers from now on.
     pub(super) fn send_to_balancers(&self, fabrics: &[FabricStandIn], balancers: &[u8]) {
         for (index, fabric) in fabrics.iter().enumerate() {
-            fabric.set_balancers(self.listeners(index, balancers));
+            fabric.set_balancers(self.listener_addresses(index, balancers));
         }
     }
 
@@ -188,7 +188,7 @@
         }
     }
 
-    fn listeners(&self, service: usize, balancers: &[u8]) -> Vec<SocketAddrV4> {
+    fn listener_addresses(&self, service: usize, balancers: &[u8]) -> Vec<SocketAddrV4> {
         balancers
             .iter()
             .map(|balancer| SocketAddrV4::new(self.ip(10 + balancer), service_port(service)))
@@ -215,7 +215,7 @@
 
     /// Returns an address in the loopback block 127.x.y.0/24 of this demo.
     fn ip(&self, last: u8) -> Ipv4Addr {
-        Ipv4Addr::new(127, self.block.0, self.block.1, last)
+        Ipv4Addr::new(127, self.loopback_block.0, self.loopback_block.1, last)
     }
 }
 
--- a/src/demo/demo_tasks.rs
+++ b/src/demo/demo_tasks.rs
@@ -108,7 +108,7 @@
             .filter(|target| target.service == service.name)
             .map(|target| target.upstream.requests())
             .collect();
-        ratio(&counts)
+        busiest_to_mean(&counts)
     });
     worst.fold(1.0, f64::max)
 }
@@ -117,7 +117,7 @@
     clippy::cast_precision_loss,
     reason = "counts of a short demo are small"
 )]
-pub(super) fn ratio(counts: &[u64]) -> f64 {
+pub(super) fn busiest_to_mean(counts: &[u64]) -> f64 {
     let sum: u64 = counts.iter().sum();
     let most = counts.iter().max().copied().unwrap_or_default();
     if sum == 0 {
--- a/src/demo/tests.rs
+++ b/src/demo/tests.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 
-use super::{DemoReport, demo_load::LineReader, demo_tasks::ratio};
+use super::{DemoReport, demo_load::LineReader, demo_tasks::busiest_to_mean};
 
 fn passing_report() -> DemoReport {
     DemoReport {
@@ -56,6 +56,6 @@
 
 #[test]
 fn the_busiest_target_is_compared_with_the_mean() {
-    assert!((ratio(&[30, 10, 20]) - 1.5).abs() < 1e-9);
-    assert!((ratio(&[]) - 1.0).abs() < 1e-9);
+    assert!((busiest_to_mean(&[30, 10, 20]) - 1.5).abs() < 1e-9);
+    assert!((busiest_to_mean(&[]) - 1.0).abs() < 1e-9);
 }
--- a/src/lab/cost/route_cost.rs
+++ b/src/lab/cost/route_cost.rs
@@ -45,20 +45,20 @@
     let set = |index| RouteChange::TargetSet(target_route(index, index % services, 0));
     apply_in_deltas(&mut table, targets, set)?;
     let full = resident_bytes()?;
-    let each = |bytes: u64, count: usize| bytes as f64 / count as f64;
-    let memory = |measure: String, figure, unit| CostResult::new(ROLE, measure, figure, unit);
+    let per_item = |bytes: u64, count: usize| bytes as f64 / count as f64;
+    let result = |measure: String, figure, unit| CostResult::new(ROLE, measure, figure, unit);
     results.extend([
-        memory(
+        result(
             "route table, memory per service".to_owned(),
-            each(with_services.saturating_sub(empty), services),
+            per_item(with_services.saturating_sub(empty), services),
             "bytes",
         ),
-        memory(
+        result(
             "route table, memory per target".to_owned(),
-            each(full.saturating_sub(with_services), targets),
+            per_item(full.saturating_sub(with_services), targets),
             "bytes",
         ),
-        memory(
+        result(
             format!("route table, memory of {services} services and {targets} targets"),
             full.saturating_sub(empty) as f64 / 1e6,
             "MB",
--- a/src/lab/model/connection_step.rs
+++ b/src/lab/model/connection_step.rs
@@ -124,8 +124,8 @@
                 self.send_first_packet(key, position);
             }
             AdmissionVerdict::Refuse { retry_after } => {
-                let wait = ModelMicros::from_millis(retry_after.millis());
-                self.schedule_in(wait, ModelEvent::Reconnect(key));
+                let delay = ModelMicros::from_millis(retry_after.millis());
+                self.schedule_in(delay, ModelEvent::Reconnect(key));
             }
         }
     }
@@ -186,8 +186,8 @@
     pub(super) fn move_callers(&mut self, target: usize, span: ModelMicros) {
         for key in std::mem::take(&mut self.stations[target].connections) {
             self.metrics.moved += 1;
-            let wait = ModelMicros::new(self.rng.random_range(0..=span.micros()));
-            self.schedule_in(wait, ModelEvent::Reconnect(key));
+            let delay = ModelMicros::new(self.rng.random_range(0..=span.micros()));
+            self.schedule_in(delay, ModelEvent::Reconnect(key));
         }
     }
 
--- a/src/lab/model/event_queue.rs
+++ b/src/lab/model/event_queue.rs
@@ -7,7 +7,7 @@
 pub(crate) enum ModelEvent {
     /// A random caller starts a burst of requests.
     Burst,
-    /// The next request of a burst, with the number of requests left after it.
+    /// The next request of a burst, with the number of requests remaining after it.
     BurstRequest(CallerKey, u32),
     /// A caller connects.
     Connect,
--- a/src/lab/model/fault_step.rs
+++ b/src/lab/model/fault_step.rs
@@ -83,14 +83,14 @@
 
     fn record_lost_request(&mut self, key: RequestKey) {
         if self.requests.remove(key).is_some() {
-            self.count(|metrics| &mut metrics.unknown);
+            self.increment(|metrics| &mut metrics.unknown);
         }
     }
 
     /// Returns whether a request is a first send or within its home's retry budget.
     pub(super) fn admit_retry(&mut self, request: &ModelRequest) -> bool {
         let now = self.now.to_clock();
-        let budget = &mut self.stations[request.home].budget;
+        let budget = &mut self.stations[request.home].retry_budget;
         if request.resends == 0 {
             budget.record_request(now);
             return true;
@@ -109,7 +109,7 @@
         request.resends += 1;
         request.claims.clear();
         request.probe = ProbeState::default();
-        self.count(|metrics| &mut metrics.resent);
+        self.increment(|metrics| &mut metrics.resent);
         self.schedule_in(Self::RESEND_GAP, ModelEvent::Resend(self.resends.len()));
         self.resends.push(request);
     }
@@ -140,7 +140,7 @@
             self.stations[resent.home].withdraw(key);
             self.cancel_claims(key, usize::MAX);
             self.requests.remove(key);
-            self.count(|metrics| &mut metrics.withdrawn);
+            self.increment(|metrics| &mut metrics.withdrawn);
         }
         self.schedule_resend(resent);
     }
--- a/src/lab/model/lab_model.rs
+++ b/src/lab/model/lab_model.rs
@@ -46,9 +46,9 @@
     /// Creates the targets and schedules the first events.
     pub(crate) fn new(setup: RunSetup) -> Self {
         let count = setup.target_count();
-        let present = setup.service.targets();
+        let initial_targets = setup.service.targets();
         let phase_of = |target| {
-            if target < present {
+            if target < initial_targets {
                 StationPhase::Serving
             } else {
                 StationPhase::Absent
@@ -62,7 +62,7 @@
             arrival_rng: SmallRng::seed_from_u64(setup.seed ^ Self::ARRIVAL_SEED_MASK),
             events: EventQueue::default(),
             now: ModelMicros::ZERO,
-            listed: (0..count).map(|target| target < present).collect(),
+            listed: (0..count).map(|target| target < initial_targets).collect(),
             stations,
             population: CallerPopulation::default(),
             requests: SlotMap::with_key(),
@@ -83,14 +83,14 @@
             self.now = at;
             self.dispatch(event);
         }
-        let members: Vec<(usize, usize)> = self
+        let serving: Vec<(usize, usize)> = self
             .stations
             .iter()
             .enumerate()
             .filter(|(_, station)| station.phase == StationPhase::Serving)
             .map(|(target, station)| (target, station.connections.len()))
             .collect();
-        self.metrics.report(&self.setup, &members)
+        self.metrics.report(&self.setup, &serving)
     }
 
     fn schedule_first_events(&mut self) {
@@ -106,15 +106,15 @@
     /// Schedules the connects of `count` callers within `span` from now.
     pub(super) fn schedule_callers(&mut self, count: usize, span: ModelMicros) {
         for _ in 0..count {
-            let wait = ModelMicros::new(self.arrival_rng.random_range(0..=span.micros()));
-            self.schedule_in(wait, ModelEvent::Connect);
+            let delay = ModelMicros::new(self.arrival_rng.random_range(0..=span.micros()));
+            self.schedule_in(delay, ModelEvent::Connect);
         }
     }
 
     fn dispatch(&mut self, event: ModelEvent) {
         match event {
             ModelEvent::Burst => self.start_burst(),
-            ModelEvent::BurstRequest(caller, left) => self.burst_request(caller, left),
+            ModelEvent::BurstRequest(caller, remaining) => self.burst_request(caller, remaining),
             ModelEvent::Connect => self.connect_caller(),
             ModelEvent::Close(caller, generation) => self.close_connection(caller, generation),
             ModelEvent::Reconnect(caller) => self.reconnect(caller),
@@ -140,9 +140,9 @@
         }
     }
 
-    /// Schedules an event `wait` from now.
-    pub(super) fn schedule_in(&mut self, wait: ModelMicros, event: ModelEvent) {
-        self.events.push(self.now.after(wait), event);
+    /// Schedules an event `delay` from now.
+    pub(super) fn schedule_in(&mut self, delay: ModelMicros, event: ModelEvent) {
+        self.events.push(self.now.after(delay), event);
     }
 
     /// Returns whether the warm-up is over.
@@ -155,15 +155,15 @@
         if self.is_measuring() && !matches!(kind, MessageKind::FirstPacket(_)) {
             self.metrics.messages += 1;
         }
-        let mut wait = self.message_delay(from, to);
+        let mut delay = self.message_delay(from, to);
         while self.rng.random_range(0..1_000) < self.setup.lost_per_mille {
             if !kind.is_reliable() {
                 return;
             }
-            wait = wait.after(Self::RETRANSMIT_DELAY);
+            delay = delay.after(Self::RETRANSMIT_DELAY);
         }
         let message = ModelMessage { from, to, kind };
-        self.schedule_in(wait, ModelEvent::Deliver(message));
+        self.schedule_in(delay, ModelEvent::Deliver(message));
     }
 
     /// The time after which a lost reliable message is retransmitted.
--- a/src/lab/model/message_step.rs
+++ b/src/lab/model/message_step.rs
@@ -45,7 +45,7 @@
             | MessageKind::StolenRequest(key) => {
                 self.cancel_claims(key, usize::MAX);
                 if self.requests.remove(key).is_some() {
-                    self.count(|metrics| &mut metrics.unknown);
+                    self.increment(|metrics| &mut metrics.unknown);
                 }
             }
             MessageKind::LoadProbe(caller) => self.accept_connection(message.from, caller),
--- a/src/lab/model/request_step.rs
+++ b/src/lab/model/request_step.rs
@@ -18,10 +18,10 @@
             return;
         }
         if let Some(key) = self.population.draw(&mut self.arrival_rng) {
-            let left = self
+            let remaining = self
                 .arrival_rng
                 .random_range(0..Self::BURST_REQUESTS * 2 - 1);
-            self.burst_request(key, left);
+            self.burst_request(key, remaining);
         }
         let slots = (self.setup.service.targets() * ServiceProfile::SLOTS) as f64;
         let load = f64::from(self.setup.load_percent) / 100.0 * self.rate_factor;
@@ -34,14 +34,14 @@
     /// Sends one request of a burst and schedules the next one.
     ///
     /// A caller that is still connecting tries again after `CONNECT_POLL`.
-    pub(super) fn burst_request(&mut self, key: CallerKey, left: u32) {
+    pub(super) fn burst_request(&mut self, key: CallerKey, remaining: u32) {
         if self.population.get(key).is_some_and(|it| it.home.is_none()) {
-            self.schedule_in(Self::CONNECT_POLL, ModelEvent::BurstRequest(key, left));
+            self.schedule_in(Self::CONNECT_POLL, ModelEvent::BurstRequest(key, remaining));
             return;
         }
-        if left > 0 {
+        if remaining > 0 {
             let gap = self.draw_exponential(Self::BURST_GAP);
-            self.schedule_in(gap, ModelEvent::BurstRequest(key, left - 1));
+            self.schedule_in(gap, ModelEvent::BurstRequest(key, remaining - 1));
         }
         if self.is_measuring() {
             self.metrics.arrived += 1;
@@ -79,13 +79,13 @@
     pub(super) fn handle_arrival(&mut self, mut request: ModelRequest) {
         let home = self.population.get(request.caller).and_then(|it| it.home);
         let Some(home) = home.filter(|&home| self.stations[home].is_reachable()) else {
-            self.count(|metrics| &mut metrics.unknown);
+            self.increment(|metrics| &mut metrics.unknown);
             return;
         };
         request.home = home;
         request.state = RequestState::Waiting;
         if !self.admit_retry(&request) {
-            self.count(|metrics| &mut metrics.refused);
+            self.increment(|metrics| &mut metrics.refused);
             return;
         }
         let key = self.requests.insert(request);
@@ -224,9 +224,9 @@
         self.cancel_claims(key, usize::MAX);
         if let Some(request) = self.requests.remove(key) {
             if request.arrived == self.now {
-                self.count(|metrics| &mut metrics.refused);
+                self.increment(|metrics| &mut metrics.refused);
             } else {
-                self.count(|metrics| &mut metrics.expired);
+                self.increment(|metrics| &mut metrics.expired);
             }
             if !request.is_abandoned {
                 self.schedule_resend(request);
@@ -248,10 +248,11 @@
     /// Assigns requests of the central queue to free slots, at the target with the most first.
     pub(super) fn serve_central_queue(&mut self) {
         loop {
-            let free = (0..self.stations.len())
+            let most_free = (0..self.stations.len())
                 .filter(|&target| self.stations[target].phase == StationPhase::Serving)
                 .max_by_key(|&target| self.stations[target].free_slots());
-            let Some(target) = free.filter(|&target| self.stations[target].free_slots() > 0) else {
+            let Some(target) = most_free.filter(|&target| self.stations[target].free_slots() > 0)
+            else {
                 return;
             };
             let Some(key) = self.central_queue.pop() else {
@@ -269,7 +270,7 @@
     }
 
     /// Increments a counter, once the warm-up is over.
-    pub(super) fn count(&mut self, pick: impl FnOnce(&mut RunMetrics) -> &mut u64) {
+    pub(super) fn increment(&mut self, pick: impl FnOnce(&mut RunMetrics) -> &mut u64) {
         if self.is_measuring() {
             *pick(&mut self.metrics) += 1;
         }
--- a/src/lab/model/run_metrics.rs
+++ b/src/lab/model/run_metrics.rs
@@ -130,14 +130,14 @@
         self.busy[target] = self.busy[target].after(span);
     }
 
-    /// Computes the results; `members` are the targets that serve at the end, each with
+    /// Computes the results; `serving` are the targets that serve at the end, each with
     /// its number of connections.
-    pub(crate) fn report(&self, setup: &RunSetup, members: &[(usize, usize)]) -> RunReport {
-        let busy: Vec<f64> = members
+    pub(crate) fn report(&self, setup: &RunSetup, serving: &[(usize, usize)]) -> RunReport {
+        let busy: Vec<f64> = serving
             .iter()
             .map(|&(target, _)| self.busy[target].as_millis())
             .collect();
-        let connections: Vec<f64> = members.iter().map(|&(_, count)| count as f64).collect();
+        let connections: Vec<f64> = serving.iter().map(|&(_, count)| count as f64).collect();
         let total: f64 = self.busy.iter().map(|span| span.as_millis()).sum();
         let millis = |micros: u64| ModelMicros::new(micros).as_millis();
         RunReport {
--- a/src/lab/model/target_station.rs
+++ b/src/lab/model/target_station.rs
@@ -32,15 +32,14 @@
     pub(crate) reported: Option<PeerLoad>,
     /// Incremented at each stop, so that events from before the stop are ignored.
     pub(crate) epoch: u32,
-    /// The budget for resent requests.
-    pub(crate) budget: RetryBudget,
+    pub(crate) retry_budget: RetryBudget,
     /// Whether it has asked a peer for work since the last retry interval.
     pub(crate) is_stealing: bool,
-    limits: SlotLimits,
-    slots: SlotQueue,
+    slot_limits: SlotLimits,
+    slot_queue: SlotQueue,
     waiting: SecondaryMap<WaiterKey, QueueEntry>,
     waiters: HashMap<RequestKey, WaiterKey>,
-    held: HashMap<RequestKey, SlotKey>,
+    held_slots: HashMap<RequestKey, SlotKey>,
 }
 
 /// The state of a target.
@@ -94,7 +93,7 @@
 impl TargetStation {
     /// Creates an idle target.
     pub(crate) fn new(setup: &RunSetup, phase: StationPhase) -> Self {
-        let limits = setup.limits();
+        let slot_limits = setup.limits();
         let rule = setup.accept.admission_rule(setup.report_period);
         Self {
             phase,
@@ -104,13 +103,13 @@
             connections: Vec::new(),
             reported: None,
             epoch: 0,
-            budget: RetryBudget::new(setup.retry_percent()),
+            retry_budget: RetryBudget::new(setup.retry_percent()),
             is_stealing: false,
-            limits,
-            slots: SlotQueue::new(limits),
+            slot_limits,
+            slot_queue: SlotQueue::new(slot_limits),
             waiting: SecondaryMap::new(),
             waiters: HashMap::new(),
-            held: HashMap::new(),
+            held_slots: HashMap::new(),
         }
     }
 
@@ -121,7 +120,7 @@
         request: SlotRequest,
         now: ClockMillis,
     ) -> Vec<StationEvent> {
-        let (verdict, displaced) = self.slots.request(request, now);
+        let (verdict, displaced) = self.slot_queue.request(request, now);
         let mut events = self.resolve_slot_events(displaced);
         match verdict {
             SlotVerdict::Run(slot) => events.push(StationEvent::Slot(entry, slot)),
@@ -136,13 +135,13 @@
 
     /// Releases a slot in which nothing ran.
     pub(crate) fn release_unused(&mut self, slot: SlotKey, now: ClockMillis) -> Vec<StationEvent> {
-        let events = self.slots.release_unused(slot, now);
+        let events = self.slot_queue.release_unused(slot, now);
         self.resolve_slot_events(events)
     }
 
     /// Releases a slot after a run.
     pub(crate) fn release(&mut self, slot: SlotKey, now: ClockMillis) -> Vec<StationEvent> {
-        let events = self.slots.release(slot, now);
+        let events = self.slot_queue.release(slot, now);
         self.resolve_slot_events(events)
     }
 
@@ -150,18 +149,18 @@
     pub(crate) fn withdraw(&mut self, request: RequestKey) {
         if let Some(waiter) = self.waiters.remove(&request) {
             self.waiting.remove(waiter);
-            self.slots.withdraw(waiter);
+            self.slot_queue.withdraw(waiter);
         }
     }
 
     /// Holds a slot for a granted claim.
     pub(crate) fn hold_slot(&mut self, request: RequestKey, slot: SlotKey) {
-        self.held.insert(request, slot);
+        self.held_slots.insert(request, slot);
     }
 
     /// Removes and returns the slot held for a request.
     pub(crate) fn take_held_slot(&mut self, request: RequestKey) -> Option<SlotKey> {
-        self.held.remove(&request)
+        self.held_slots.remove(&request)
     }
 
     /// Returns the waiting requests, without claims.
@@ -175,13 +174,13 @@
 
     /// Returns the number of slots that are neither used nor held.
     pub(crate) fn free_slots(&self) -> usize {
-        let counts = self.slots.counts();
+        let counts = self.slot_queue.counts();
         usize::from(counts.slots.saturating_sub(counts.running))
     }
 
     /// Returns the load: running and waiting entries, held slots and connections.
     pub(crate) fn load(&self) -> TargetLoad {
-        let counts = self.slots.counts();
+        let counts = self.slot_queue.counts();
         TargetLoad {
             requests: u32::from(counts.running) + u32::from(counts.waiting),
             slots: u32::from(counts.slots),
@@ -203,10 +202,10 @@
         self.phase = phase;
         self.epoch += 1;
         self.is_stealing = false;
-        self.slots = SlotQueue::new(self.limits);
+        self.slot_queue = SlotQueue::new(self.slot_limits);
         self.waiting.clear();
         self.waiters.clear();
-        self.held.clear();
+        self.held_slots.clear();
         lost
     }
 
--- a/src/lab/policy/policy_plan.rs
+++ b/src/lab/policy/policy_plan.rs
@@ -103,15 +103,15 @@
         }
         if service.reserve() > 0 {
             let setup = RunSetup::new(service, DEFAULT_ACCEPT, DEFAULT_RELAY).with_load(load);
-            let plain = setup.clone().with_reserve(0);
-            cases.push(PolicyCase::new(CaseGroup::Relay, "no reserve", plain));
-            let long = setup.with_bulk_service_time(LONG_BULK_TIME);
-            let plain = long.clone().with_reserve(0);
-            cases.push(PolicyCase::new(CaseGroup::Relay, "bulk of 2 s", long));
+            let no_reserve = setup.clone().with_reserve(0);
+            cases.push(PolicyCase::new(CaseGroup::Relay, "no reserve", no_reserve));
+            let long_bulk = setup.with_bulk_service_time(LONG_BULK_TIME);
+            let no_reserve = long_bulk.clone().with_reserve(0);
+            cases.push(PolicyCase::new(CaseGroup::Relay, "bulk of 2 s", long_bulk));
             cases.push(PolicyCase::new(
                 CaseGroup::Relay,
                 "bulk of 2 s, no reserve",
-                plain,
+                no_reserve,
             ));
         }
     }
@@ -286,15 +286,15 @@
     let mut restarted = setup.clone();
     let mut drained = setup;
     for target in 0..service.targets() {
-        let turn = at.after(ModelMicros::from_seconds(40 * target as u64));
-        let back = turn.after(ModelMicros::from_seconds(10));
+        let stop_at = at.after(ModelMicros::from_seconds(40 * target as u64));
+        let restart_at = stop_at.after(ModelMicros::from_seconds(10));
         let cold = FaultKind::ColdStart { target };
         restarted = restarted
-            .with_fault(turn, FaultKind::Crash { target })
-            .with_fault(back, cold);
+            .with_fault(stop_at, FaultKind::Crash { target })
+            .with_fault(restart_at, cold);
         drained = drained
-            .with_fault(turn, FaultKind::Drain { target })
-            .with_fault(back, cold);
+            .with_fault(stop_at, FaultKind::Drain { target })
+            .with_fault(restart_at, cold);
     }
     add(
         "every target restarts in turn, unplanned, 50% load",
