--- a/src/demo/demo_run.rs
+++ b/src/demo/demo_run.rs
@@ -82,7 +82,7 @@
 
     run.trigger.stop();
     while run.callers.join_next().await.is_some() {}
-    progress("collecting the results");
+    progress("counting");
     let mut report = build_report(&run.counters, &run.targets).await;
     report.streams = streams;
     report.late_work = late_work;
