--- a/src/fleet/entry_packets.rs
+++ b/src/fleet/entry_packets.rs
@@ -46,7 +46,7 @@
             }
         };
         packet.age = packet.age.plus(parked_for);
-        match self.flows.take_packet(&packet, bytes, now) {
+        match self.flows.handle_packet(&packet, bytes, now) {
             FlowVerdict::Forward { to, header } => {
                 self.log_forward(&packet, to, &header, now);
                 self.forward(bytes, to, header);
@@ -145,7 +145,7 @@
         if let Some(waited) = self.flows.opening_age(report.flow, now) {
             histogram!("cyclamen_entry_opening_ms").record(waited.millis_float());
         }
-        match self.flows.take_report(report, now) {
+        match self.flows.handle_report(report, now) {
             ReportStep::Nothing => {}
             ReportStep::Forward { packet, to, header } => self.forward(&packet, to, header),
             ReportStep::Reset(reset) => {
--- a/src/fleet/side_packets.rs
+++ b/src/fleet/side_packets.rs
@@ -40,7 +40,7 @@
         };
         let step = self
             .flows
-            .take_frame(frame.header, &packet, frame.packet, now);
+            .handle_frame(frame.header, &packet, frame.packet, now);
         if packet.data_bytes > 0
             && let Some(request) = request_id(self.codec.data(frame.packet))
             && self.log_limiter.allows(FleetEvent::RequestDelivered, now)
@@ -77,7 +77,7 @@
             return self.refuse_datagram("no packet of the target", now);
         };
         let suspect = self.flows.is_suspect();
-        let step = self.flows.take_answer(&packet, now);
+        let step = self.flows.handle_target_packet(&packet, now);
         if suspect {
             log_event!(info, FleetEvent::TargetHeard, target = %self.settings.target);
             self.announce_change(now);
--- a/src/flow/agent_flows.rs
+++ b/src/flow/agent_flows.rs
@@ -143,7 +143,7 @@
     }
 
     /// Handles a packet from a caller.
-    pub(crate) fn take_frame(
+    pub(crate) fn handle_frame(
         &mut self,
         header: HopHeader,
         packet: &FlowPacket,
@@ -181,7 +181,11 @@
     }
 
     /// Handles a packet that the target sent or bounced.
-    pub(crate) fn take_answer(&mut self, packet: &FlowPacket, now: ClockMillis) -> AgentStep {
+    pub(crate) fn handle_target_packet(
+        &mut self,
+        packet: &FlowPacket,
+        now: ClockMillis,
+    ) -> AgentStep {
         self.health.record_activity(now);
         if packet.signs.has(PacketSigns::BOUNCED) {
             return self.handle_bounce(packet);
--- a/src/flow/balancer_flows.rs
+++ b/src/flow/balancer_flows.rs
@@ -162,7 +162,7 @@
     }
 
     /// Decides what to do with a packet from a caller.
-    pub(crate) fn take_packet(
+    pub(crate) fn handle_packet(
         &mut self,
         packet: &FlowPacket,
         bytes: &[u8],
@@ -273,7 +273,7 @@
     }
 
     /// Handles an agent's report on a flow; returns what to send in response.
-    pub(crate) fn take_report(&mut self, report: &FlowReport, now: ClockMillis) -> ReportStep {
+    pub(crate) fn handle_report(&mut self, report: &FlowReport, now: ClockMillis) -> ReportStep {
         self.suspects.remove(&report.agent);
         self.unreported_openings = 0;
         self.openings.remove(report.flow);
--- a/src/flow/tests/agent_steps.rs
+++ b/src/flow/tests/agent_steps.rs
@@ -46,23 +46,31 @@
 /// Opens a flow and makes the target answer and acknowledge on it.
 fn establish(flows: &mut AgentFlows, port: u16) {
     let opening = from_caller(flow(port), PacketSigns::OPEN);
-    delivered_tag(flows.take_frame(header(&[2]), &opening, &[1], START).action);
+    delivered_tag(
+        flows
+            .handle_frame(header(&[2]), &opening, &[1], START)
+            .action,
+    );
     let accepted = PacketSigns::OPEN.with(PacketSigns::ACKNOWLEDGE);
-    flows.take_answer(&from_target(flow(port), accepted), START);
-    flows.take_answer(&from_target(flow(port), PacketSigns::ACKNOWLEDGE), START);
+    flows.handle_target_packet(&from_target(flow(port), accepted), START);
+    flows.handle_target_packet(&from_target(flow(port), PacketSigns::ACKNOWLEDGE), START);
 }
 
 #[test]
 fn an_answered_opening_is_reported_once() {
     let mut flows = flows();
     let opening = from_caller(flow(1), PacketSigns::OPEN);
-    delivered_tag(flows.take_frame(header(&[2]), &opening, &[1], START).action);
+    delivered_tag(
+        flows
+            .handle_frame(header(&[2]), &opening, &[1], START)
+            .action,
+    );
     let accepted = from_target(flow(1), PacketSigns::OPEN.with(PacketSigns::ACKNOWLEDGE));
-    let step = flows.take_answer(&accepted, START);
+    let step = flows.handle_target_packet(&accepted, START);
     assert_eq!(step.action, AgentAction::Return);
     let (balancer, report) = step.report.expect("a report");
     assert_eq!((balancer, report.kind), (BALANCER, ReportKind::Held));
-    assert_eq!(flows.take_answer(&accepted, START).report, None);
+    assert_eq!(flows.handle_target_packet(&accepted, START).report, None);
 }
 
 #[test]
@@ -70,7 +78,7 @@
     let mut flows = flows();
     let other = HopHeader::new(ServiceTag::of("logbook"), BALANCER).with_candidates([agent(2)]);
     let opening = from_caller(flow(1), PacketSigns::OPEN);
-    let step = flows.take_frame(other, &opening, &[1], START);
+    let step = flows.handle_frame(other, &opening, &[1], START);
     assert_eq!(next_agent(step.action), agent(2));
 }
 
@@ -82,9 +90,9 @@
     let mut flows = flows();
     flows.set_target(target, None, LATER);
     let opening = from_caller(flow(1), PacketSigns::OPEN);
-    let step = flows.take_frame(header(&[3]), &opening, &[1], START);
+    let step = flows.handle_frame(header(&[3]), &opening, &[1], START);
     assert_eq!(next_agent(step.action), agent(3));
-    let refused = flows.take_frame(header(&[]), &opening, &[1], START);
+    let refused = flows.handle_frame(header(&[]), &opening, &[1], START);
     assert!(matches!(refused.action, AgentAction::Reset(_)));
     assert_eq!(
         refused.report.map(|(_, report)| report.kind),
@@ -98,15 +106,19 @@
     establish(&mut flows, 1);
     flows.set_target(AgentTarget::Leaving, None, START);
     let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
-    delivered_tag(flows.take_frame(header(&[]), &data, &[1], START).action);
+    delivered_tag(flows.handle_frame(header(&[]), &data, &[1], START).action);
 }
 
 #[test]
 fn an_agent_that_just_started_passes_on_what_its_target_bounces() {
     let mut flows = AgentFlows::new(OWN, service(), 100, SpanMillis::new(60_000));
     let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
-    let tag = delivered_tag(flows.take_frame(header(&[4, 5]), &data, &[1], START).action);
-    let step = flows.take_answer(&bounced(flow(1), PacketSigns::ACKNOWLEDGE, tag), START);
+    let tag = delivered_tag(
+        flows
+            .handle_frame(header(&[4, 5]), &data, &[1], START)
+            .action,
+    );
+    let step = flows.handle_target_packet(&bounced(flow(1), PacketSigns::ACKNOWLEDGE, tag), START);
     assert_eq!(next_agent(step.action), agent(4));
 }
 
@@ -114,8 +126,8 @@
 fn a_bounced_packet_without_a_next_candidate_is_reported_and_not_reset() {
     let mut flows = flows();
     let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
-    let tag = delivered_tag(flows.take_frame(header(&[]), &data, &[1], START).action);
-    let step = flows.take_answer(&bounced(flow(1), PacketSigns::ACKNOWLEDGE, tag), START);
+    let tag = delivered_tag(flows.handle_frame(header(&[]), &data, &[1], START).action);
+    let step = flows.handle_target_packet(&bounced(flow(1), PacketSigns::ACKNOWLEDGE, tag), START);
     assert_eq!(step.action, AgentAction::Drop);
     assert_eq!(
         step.report.map(|(_, report)| report.kind),
@@ -128,8 +140,8 @@
     let mut flows = flows();
     establish(&mut flows, 1);
     let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
-    let tag = delivered_tag(flows.take_frame(header(&[2]), &data, &[1], START).action);
-    let step = flows.take_answer(&bounced(flow(1), PacketSigns::ACKNOWLEDGE, tag), START);
+    let tag = delivered_tag(flows.handle_frame(header(&[2]), &data, &[1], START).action);
+    let step = flows.handle_target_packet(&bounced(flow(1), PacketSigns::ACKNOWLEDGE, tag), START);
     let AgentAction::Reset(reset) = step.action else {
         panic!("not reset: {:?}", step.action);
     };
@@ -144,7 +156,7 @@
 #[test]
 fn a_bounced_packet_of_an_earlier_run_is_dropped() {
     let mut flows = flows();
-    let step = flows.take_answer(&bounced(flow(1), PacketSigns::ACKNOWLEDGE, 77), START);
+    let step = flows.handle_target_packet(&bounced(flow(1), PacketSigns::ACKNOWLEDGE, 77), START);
     assert_eq!(step.action, AgentAction::Drop);
 }
 
@@ -152,7 +164,11 @@
 fn an_unanswered_opening_goes_to_the_next_candidate_within_50_ms() {
     let mut flows = flows();
     let opening = from_caller(flow(1), PacketSigns::OPEN);
-    delivered_tag(flows.take_frame(header(&[2]), &opening, &[9], START).action);
+    delivered_tag(
+        flows
+            .handle_frame(header(&[2]), &opening, &[9], START)
+            .action,
+    );
     let due = flows.next_due().expect("a pending opening");
     assert!(due.since(START) <= SpanMillis::new(50));
     let steps = flows.expire_openings(due);
@@ -162,10 +178,10 @@
     // The target is a suspect now, so the next opening does not wait for it.
     assert!(flows.is_suspect());
     let next = from_caller(flow(2), PacketSigns::OPEN);
-    let step = flows.take_frame(header(&[2]), &next, &[1], due);
+    let step = flows.handle_frame(header(&[2]), &next, &[1], due);
     assert_eq!(next_agent(step.action), agent(2));
     // Any packet from the target ends the suspicion.
-    flows.take_answer(&from_target(flow(3), PacketSigns::ACKNOWLEDGE), due);
+    flows.handle_target_packet(&from_target(flow(3), PacketSigns::ACKNOWLEDGE), due);
     assert!(!flows.is_suspect());
 }
 
@@ -173,9 +189,13 @@
 fn a_target_that_lost_one_opening_but_answers_others_is_not_suspected() {
     let mut flows = flows();
     let opening = from_caller(flow(1), PacketSigns::OPEN);
-    delivered_tag(flows.take_frame(header(&[2]), &opening, &[9], START).action);
+    delivered_tag(
+        flows
+            .handle_frame(header(&[2]), &opening, &[9], START)
+            .action,
+    );
     let later = START.after(SpanMillis::new(5));
-    flows.take_answer(&from_target(flow(3), PacketSigns::ACKNOWLEDGE), later);
+    flows.handle_target_packet(&from_target(flow(3), PacketSigns::ACKNOWLEDGE), later);
     let due = flows.next_due().expect("a pending opening");
     assert_eq!(flows.expire_openings(due).len(), 1);
     assert!(!flows.is_suspect());
@@ -193,9 +213,9 @@
     flows.set_target(AgentTarget::Serving, Some(IncarnationId::new(1)), START);
     establish(&mut flows, 1);
     let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
-    flows.take_frame(header(&[]), &data, &[1], START);
+    flows.handle_frame(header(&[]), &data, &[1], START);
     // Flow 2 was only looked up here and may be held elsewhere.
-    flows.take_frame(
+    flows.handle_frame(
         header(&[2]),
         &from_caller(flow(2), PacketSigns::ACKNOWLEDGE),
         &[1],
@@ -244,7 +264,7 @@
     );
     // If the target does not hold the flow, it bounces the next packet.
     let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
-    let tag = delivered_tag(flows.take_frame(header(&[]), &data, &[1], START).action);
-    let step = flows.take_answer(&bounced(flow(1), PacketSigns::ACKNOWLEDGE, tag), START);
+    let tag = delivered_tag(flows.handle_frame(header(&[]), &data, &[1], START).action);
+    let step = flows.handle_target_packet(&bounced(flow(1), PacketSigns::ACKNOWLEDGE, tag), START);
     assert!(matches!(step.action, AgentAction::Reset(_)));
 }
--- a/src/flow/tests/balancer_startup.rs
+++ b/src/flow/tests/balancer_startup.rs
@@ -46,7 +46,8 @@
 fn packets_parked_before_the_routes_are_known_are_forwarded_afterwards() {
     let mut flows = started_balancer();
     for (port, millis) in [(1, 0), (2, 5), (1, 10)] {
-        let verdict = flows.take_packet(&opening(port), &[u8::try_from(port).unwrap()], at(millis));
+        let verdict =
+            flows.handle_packet(&opening(port), &[u8::try_from(port).unwrap()], at(millis));
         assert_eq!(verdict, FlowVerdict::Park(RefusalCause::NotReady));
     }
     set_routes_and_targets(
@@ -58,14 +59,14 @@
     let parked = flows.take_parked(at(300));
     assert_eq!(parked, [(ages[0], vec![2]), (ages[1], vec![1])]);
     assert_eq!(flows.take_parked(at(300)), []);
-    let verdict = flows.take_packet(&opening(1), &[1], at(300));
+    let verdict = flows.handle_packet(&opening(1), &[1], at(300));
     assert!(matches!(verdict, FlowVerdict::Forward { .. }));
 }
 
 #[test]
 fn a_parked_packet_is_dropped_after_a_second() {
     let mut flows = started_balancer();
-    flows.take_packet(&opening(1), &[1], START);
+    flows.handle_packet(&opening(1), &[1], START);
     assert_eq!(flows.take_parked(at(1_000)), []);
 }
 
--- a/src/flow/tests/balancer_verdicts.rs
+++ b/src/flow/tests/balancer_verdicts.rs
@@ -87,12 +87,12 @@
     now: ClockMillis,
 ) -> (Ipv4Addr, Vec<Ipv4Addr>) {
     let opening = from_caller(flow(port), PacketSigns::OPEN);
-    forwarded(flows.take_packet(&opening, &[1], now))
+    forwarded(flows.handle_packet(&opening, &[1], now))
 }
 
 fn send_data(flows: &mut BalancerFlows, port: u16) -> (Ipv4Addr, Vec<Ipv4Addr>) {
     let data = from_caller(flow(port), PacketSigns::ACKNOWLEDGE);
-    forwarded(flows.take_packet(&data, &[1], START))
+    forwarded(flows.handle_packet(&data, &[1], START))
 }
 
 fn report(port: u16, from: Ipv4Addr, kind: ReportKind) -> FlowReport {
@@ -119,7 +119,7 @@
     let (first, candidates) = send_opening(&mut flows, 1, START);
     let holder = candidates[1];
     assert_ne!(first, holder);
-    flows.take_report(&report(1, holder, ReportKind::Held), START);
+    flows.handle_report(&report(1, holder, ReportKind::Held), START);
     assert_eq!(send_data(&mut flows, 1), (holder, Vec::new()));
 }
 
@@ -134,9 +134,9 @@
 #[test]
 fn a_flow_that_its_agent_does_not_hold_is_looked_up_again() {
     let mut flows = balancer();
-    flows.take_report(&report(1, agent(9), ReportKind::Held), START);
+    flows.handle_report(&report(1, agent(9), ReportKind::Held), START);
     assert_eq!(send_data(&mut flows, 1).0, agent(9));
-    flows.take_report(&report(1, agent(9), ReportKind::NotHeld), START);
+    flows.handle_report(&report(1, agent(9), ReportKind::NotHeld), START);
     let (asked, others) = send_data(&mut flows, 1);
     assert_ne!(asked, agent(9));
     assert_eq!(others.len(), 4);
@@ -169,7 +169,7 @@
     let avoided = (2..200).all(|port| send_opening(&mut flows, port, due).0 != silent);
     assert!(avoided);
     // A report of the agent ends the suspicion.
-    flows.take_report(&report(900, silent, ReportKind::Held), due);
+    flows.handle_report(&report(900, silent, ReportKind::Held), due);
     assert!((200..400).any(|port| send_opening(&mut flows, port, due).0 == silent));
 }
 
@@ -209,13 +209,13 @@
     let mut flows = balancer();
     flows.table_mut().replace(&manifest(2, Vec::new()), START);
     let opening = from_caller(flow(1), PacketSigns::OPEN);
-    let verdict = flows.take_packet(&opening, &[1], START);
+    let verdict = flows.handle_packet(&opening, &[1], START);
     assert!(matches!(
         verdict,
         FlowVerdict::Reset(_, RefusalCause::NoRoute)
     ));
     flows.set_current(false);
-    let verdict = flows.take_packet(&opening, &[1], START);
+    let verdict = flows.handle_packet(&opening, &[1], START);
     assert_eq!(verdict, FlowVerdict::Park(RefusalCause::NotReady));
 }
 
@@ -224,7 +224,7 @@
     let mut flows = BalancerFlows::new(BALANCER, ListenerTable::new(FLOW_AGE), FLOW_AGE);
     flows.set_current(true);
     let opening = from_caller(flow(1), PacketSigns::OPEN);
-    let verdict = flows.take_packet(&opening, &[1], START);
+    let verdict = flows.handle_packet(&opening, &[1], START);
     assert_eq!(verdict, FlowVerdict::Park(RefusalCause::NotReady));
 }
 
@@ -232,7 +232,7 @@
 /// first and the frame's header.
 fn start_lookup(flows: &mut BalancerFlows) -> (Ipv4Addr, HopHeader) {
     let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
-    match flows.take_packet(&data, &[1], START) {
+    match flows.handle_packet(&data, &[1], START) {
         FlowVerdict::Forward { to, header } => (to, header),
         other => panic!("not forwarded: {other:?}"),
     }
@@ -251,7 +251,7 @@
         asked.push(to);
         asked.extend(header.candidates());
         let report = not_held(last_candidate(to, &header), header.lookup_id);
-        match flows.take_report(&report, START) {
+        match flows.handle_report(&report, START) {
             ReportStep::Forward {
                 to: next,
                 header: after,
@@ -300,7 +300,7 @@
         targets(&agents, &agents),
     )])));
     let report = not_held(last_candidate(to, &header), header.lookup_id);
-    let step = flows.take_report(&report, START);
+    let step = flows.handle_report(&report, START);
     assert!(matches!(step, ReportStep::Forward { to, .. } if to == agent(6)));
 }
 
@@ -312,17 +312,17 @@
     let (to, earlier) = start_lookup(&mut flows);
     let (_, later) = start_lookup(&mut flows);
     let last = last_candidate(to, &earlier);
-    let step = flows.take_report(&not_held(last, earlier.lookup_id), START);
+    let step = flows.handle_report(&not_held(last, earlier.lookup_id), START);
     assert_eq!(step, ReportStep::Nothing);
-    let step = flows.take_report(&not_held(last, later.lookup_id), START);
+    let step = flows.handle_report(&not_held(last, later.lookup_id), START);
     assert!(matches!(step, ReportStep::Reset(_)));
 }
 
 #[test]
 fn a_not_held_report_of_another_agent_keeps_the_confirmed_owner() {
     let mut flows = balancer();
-    flows.take_report(&report(1, agent(2), ReportKind::Held), START);
-    flows.take_report(&not_held(agent(3), 0), START);
+    flows.handle_report(&report(1, agent(2), ReportKind::Held), START);
+    flows.handle_report(&not_held(agent(3), 0), START);
     assert_eq!(send_data(&mut flows, 1), (agent(2), Vec::new()));
 }
 
@@ -330,7 +330,7 @@
 fn a_not_held_report_of_an_agent_that_is_not_the_last_one_is_ignored() {
     let mut flows = balancer();
     let (to, header) = start_lookup(&mut flows);
-    let step = flows.take_report(&not_held(to, header.lookup_id), START);
+    let step = flows.handle_report(&not_held(to, header.lookup_id), START);
     assert_eq!(step, ReportStep::Nothing);
 }
 
@@ -338,7 +338,7 @@
 /// this incarnation of the agent's target.
 fn balancer_with_incarnation(incarnation: TargetIncarnation) -> BalancerFlows {
     let mut flows = balancer();
-    flows.take_report(&report(1, agent(2), ReportKind::Held), START);
+    flows.handle_report(&report(1, agent(2), ReportKind::Held), START);
     let mut targets = known_targets(HashMap::from([(
         service(),
         targets(&[1, 2, 3], &[1, 2, 3]),
@@ -355,7 +355,7 @@
         ended: true,
     });
     let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
-    let verdict = flows.take_packet(&data, &[1], START);
+    let verdict = flows.handle_packet(&data, &[1], START);
     assert!(matches!(
         verdict,
         FlowVerdict::Reset(_, RefusalCause::TargetGone)
@@ -380,7 +380,7 @@
 #[test]
 fn a_flow_of_a_silent_target_is_not_reset() {
     let mut flows = balancer();
-    flows.take_report(&report(1, agent(2), ReportKind::Held), START);
+    flows.handle_report(&report(1, agent(2), ReportKind::Held), START);
     let mut targets = known_targets(HashMap::from([(service(), targets(&[1], &[1, 2]))]));
     let same = TargetIncarnation {
         id: Some(INCARNATION),
@@ -401,6 +401,6 @@
         assert_eq!(flows.expire_openings(due).len(), 1);
     }
     assert!(flows.is_isolated());
-    flows.take_report(&report(1, agent(1), ReportKind::Held), START);
+    flows.handle_report(&report(1, agent(1), ReportKind::Held), START);
     assert!(!flows.is_isolated());
 }
--- a/src/flow/tests/full_target.rs
+++ b/src/flow/tests/full_target.rs
@@ -45,7 +45,7 @@
 fn offer(flows: &mut AgentFlows, port: u16, rank: u8, now: ClockMillis) -> AgentAction {
     let opening = from_caller(flow(port), PacketSigns::OPEN);
     flows
-        .take_frame(header(rank, &[]), &opening, &[1], now)
+        .handle_frame(header(rank, &[]), &opening, &[1], now)
         .action
 }
 
@@ -67,8 +67,8 @@
 fn open_and_request(flows: &mut AgentFlows, port: u16, now: ClockMillis) {
     offer(flows, port, 2, now);
     let accepted = PacketSigns::OPEN.with(PacketSigns::ACKNOWLEDGE);
-    flows.take_answer(&from_target(flow(port), accepted), now);
-    flows.take_frame(header(2, &[]), &request(flow(port)), &[1], now);
+    flows.handle_target_packet(&from_target(flow(port), accepted), now);
+    flows.handle_frame(header(2, &[]), &request(flow(port)), &[1], now);
 }
 
 /// Returns an agent whose target is full with the requests of flows 1 to
@@ -99,7 +99,7 @@
 fn a_full_target_passes_an_opening_on() {
     let mut flows = full_agent();
     let opening = from_caller(flow(9), PacketSigns::OPEN);
-    let step = flows.take_frame(header(2, &[4]), &opening, &[1], START);
+    let step = flows.handle_frame(header(2, &[4]), &opening, &[1], START);
     assert!(matches!(step.action, AgentAction::PassOn { to, .. } if to == agent(4)));
 }
 
@@ -107,12 +107,12 @@
 fn the_last_candidate_queues_an_opening_until_a_slot_is_free() {
     let mut flows = full_agent();
     let opening = from_caller(flow(9), PacketSigns::OPEN);
-    let step = flows.take_frame(header(2, &[]), &opening, &[1], START);
+    let step = flows.handle_frame(header(2, &[]), &opening, &[1], START);
     assert_eq!(step.action, AgentAction::Wait);
     let report = step.report.map(|(to, report)| (to, report.kind));
     assert_eq!(report, Some((BALANCER, ReportKind::Waiting)));
     assert_eq!(admitted(&mut flows, at(10)), [0; 0]);
-    flows.take_answer(&answer(flow(1)), at(10));
+    flows.handle_target_packet(&answer(flow(1)), at(10));
     assert_eq!(admitted(&mut flows, at(10)), [9]);
     assert_eq!(flows.waiting(), 0);
 }
@@ -133,11 +133,11 @@
     offer(&mut flows, 11, 2, at(160));
     offer(&mut flows, 12, 1, at(155));
     for port in 1..=MAX_IN_FLIGHT {
-        flows.take_answer(&answer(flow(port)), at(170));
+        flows.handle_target_packet(&answer(flow(port)), at(170));
     }
     // Flow 9 has waited for more than half of its goal, so it goes last.
     assert_eq!(admitted(&mut flows, at(170)), [12, 11, 10]);
-    flows.take_answer(&answer(flow(12)), at(200));
+    flows.handle_target_packet(&answer(flow(12)), at(200));
     assert_eq!(admitted(&mut flows, at(200)), [9]);
 }
 
@@ -147,9 +147,9 @@
     let mut flows = full_agent();
     let retransmission = from_caller(flow(9), PacketSigns::OPEN);
     let aged = header(1, &[]).with_age(SpanMillis::new(600));
-    flows.take_frame(aged, &retransmission, &[1], at(20));
+    flows.handle_frame(aged, &retransmission, &[1], at(20));
     offer(&mut flows, 10, 2, at(0));
-    flows.take_answer(&answer(flow(1)), at(20));
+    flows.handle_target_packet(&answer(flow(1)), at(20));
     assert_eq!(admitted(&mut flows, at(20)), [10]);
 }
 
@@ -158,7 +158,7 @@
 #[test]
 fn an_opening_whose_turn_would_come_after_its_timeout_is_refused_at_once() {
     let mut flows = full_agent();
-    flows.take_answer(&answer(flow(1)), at(1_800));
+    flows.handle_target_packet(&answer(flow(1)), at(1_800));
     open_and_request(&mut flows, 8, at(1_800));
     for port in 10..15 {
         offer(&mut flows, port, 2, at(u64::from(1_800 + port)));
@@ -193,7 +193,7 @@
     let mut flows = full_agent();
     offer(&mut flows, 9, 2, START);
     flows.set_target(target, None, START);
-    flows.take_answer(&answer(flow(1)), at(10));
+    flows.handle_target_packet(&answer(flow(1)), at(10));
     let end = flows.next_waiting(at(10)).expect("a refusal");
     assert!(matches!(end.step.action, AgentAction::Reset(_)));
     assert_eq!(flows.next_waiting(at(10)), None);
@@ -202,21 +202,21 @@
 #[test]
 fn a_retransmitted_request_is_not_counted_again() {
     let mut flows = full_agent();
-    flows.take_answer(&answer(flow(1)), at(10));
-    flows.take_frame(header(2, &[]), &request(flow(1)), &[1], at(20));
+    flows.handle_target_packet(&answer(flow(1)), at(10));
+    flows.handle_frame(header(2, &[]), &request(flow(1)), &[1], at(20));
     assert_eq!(flows.busy(), usize::from(MAX_IN_FLIGHT) - 1);
 }
 
 #[test]
 fn a_reservation_without_a_request_expires() {
     let mut flows = full_agent();
-    flows.take_answer(&answer(flow(1)), START);
+    flows.handle_target_packet(&answer(flow(1)), START);
     assert!(matches!(
         offer(&mut flows, 8, 2, START),
         AgentAction::Deliver { .. }
     ));
     let accepted = PacketSigns::OPEN.with(PacketSigns::ACKNOWLEDGE);
-    flows.take_answer(&from_target(flow(8), accepted), START);
+    flows.handle_target_packet(&from_target(flow(8), accepted), START);
     offer(&mut flows, 9, 2, START);
     assert_eq!(admitted(&mut flows, at(29)), [0; 0]);
     assert_eq!(admitted(&mut flows, at(30)), [9]);
@@ -226,12 +226,12 @@
 fn a_bounced_request_is_not_in_flight() {
     let mut flows = full_agent();
     let packet = request(flow(7));
-    let step = flows.take_frame(header(2, &[]), &packet, &[1], START);
+    let step = flows.handle_frame(header(2, &[]), &packet, &[1], START);
     let AgentAction::Deliver { tag } = step.action else {
         panic!("not delivered: {step:?}");
     };
     assert_eq!(flows.busy(), usize::from(MAX_IN_FLIGHT) + 1);
-    flows.take_answer(&bounced(flow(7), PacketSigns::ACKNOWLEDGE, tag), START);
+    flows.handle_target_packet(&bounced(flow(7), PacketSigns::ACKNOWLEDGE, tag), START);
     assert_eq!(flows.busy(), usize::from(MAX_IN_FLIGHT));
 }
 
--- a/src/flow/tests/opening_burst.rs
+++ b/src/flow/tests/opening_burst.rs
@@ -112,7 +112,7 @@
             let opening = from_caller(flow, PacketSigns::OPEN);
             let (number, flows, _) = self.agents.get_mut(&at).expect("an agent");
             let number = *number;
-            match flows.take_frame(header, &opening, &[1], now).action {
+            match flows.handle_frame(header, &opening, &[1], now).action {
                 AgentAction::PassOn { to, header } => hop = Some((to, header)),
                 AgentAction::Deliver { .. } => return self.accept(number, flow, now),
                 AgentAction::Wait => return,
@@ -125,7 +125,7 @@
     fn accept(&mut self, number: u8, flow: FlowKey, now: ClockMillis) {
         let accepted = PacketSigns::OPEN.with(PacketSigns::ACKNOWLEDGE);
         let (_, flows, _) = self.agents.get_mut(&agent(number)).expect("an agent");
-        flows.take_answer(&from_target(flow, accepted), now);
+        flows.handle_target_packet(&from_target(flow, accepted), now);
         self.schedule(
             now.millis() + ROUND_TRIP_MILLIS,
             flow,
@@ -140,7 +140,7 @@
         };
         let header = HopHeader::new(service(), BALANCER);
         let (_, flows, target) = self.agents.get_mut(&agent(number)).expect("an agent");
-        flows.take_frame(header, &packet, &[1], now);
+        flows.handle_frame(header, &packet, &[1], now);
         target.queued.push_back(flow);
         self.start_requests(number, now);
     }
@@ -151,7 +151,7 @@
             ..from_target(flow, PacketSigns::ACKNOWLEDGE)
         };
         let (_, flows, target) = self.agents.get_mut(&agent(number)).expect("an agent");
-        flows.take_answer(&packet, now);
+        flows.handle_target_packet(&packet, now);
         target.processing -= 1;
         let opened_at = self.opened_at[&flow];
         self.answered_after.insert(flow, now.millis() - opened_at);
--- a/src/flow/tests/overload.rs
+++ b/src/flow/tests/overload.rs
@@ -29,7 +29,7 @@
         tried.push(at);
         let mut flows = AgentFlows::new(at, service(), 1, SpanMillis::new(60_000));
         flows.set_target(AgentTarget::Serving, None, START);
-        let step = flows.take_frame(header, &opening, &[1], START);
+        let step = flows.handle_frame(header, &opening, &[1], START);
         let AgentAction::Deliver { tag } = step.action else {
             panic!("not delivered: {step:?}");
         };
@@ -37,7 +37,7 @@
             return (tried, false);
         }
         let bounce = bounced(flow(1), PacketSigns::OPEN, tag);
-        hop = match flows.take_answer(&bounce, START).action {
+        hop = match flows.handle_target_packet(&bounce, START).action {
             AgentAction::PassOn { to, header } => Some((to, header)),
             AgentAction::Reset(_) => return (tried, true),
             other => panic!("neither passed on nor refused: {other:?}"),
