--- a/src/flow/agent_flows.rs
+++ b/src/flow/agent_flows.rs
@@ -2,7 +2,7 @@
 
 use super::{
     AgentAction, AgentFlowInfo, AgentStep, AgentTarget, FlowKey, FlowPacket, FlowReport, FlowReset,
-    HopHeader, PacketSigns, ReportKind,
+    HopHeader, PacketFlags, ReportKind,
     delivery_ring::DeliveryRing,
     opening_queue::OpeningQueue,
     pending_openings::{PendingOpening, PendingOpenings},
@@ -187,16 +187,16 @@
         now: ClockMillis,
     ) -> AgentStep {
         self.health.record_activity(now);
-        if packet.signs.has(PacketSigns::BOUNCED) {
+        if packet.flags.has(PacketFlags::BOUNCED) {
             return self.handle_bounce(packet);
         }
         let flow = packet.target_flow();
-        if packet.signs.has(PacketSigns::RESET) {
+        if packet.flags.has(PacketFlags::RESET) {
             self.tracked.remove(&flow);
             self.load.cancel(flow);
             return AgentStep::without_report(AgentAction::Return);
         }
-        if packet.data_bytes > 0 || packet.signs.has(PacketSigns::FINISH) {
+        if packet.data_bytes > 0 || packet.flags.has(PacketFlags::FINISH) {
             self.load.finish(flow, now);
         }
         let opening = self.openings.remove(flow);
@@ -207,7 +207,7 @@
         let mut report = None;
         if let Some(tracked) = self.tracked.get_mut(&flow) {
             tracked.last_packet_at = now;
-            tracked.established |= !packet.signs.has(PacketSigns::OPEN);
+            tracked.established |= !packet.flags.has(PacketFlags::OPEN);
             if !tracked.reported {
                 tracked.reported = true;
                 report = Some((tracked.balancer, self.report(flow, 0, ReportKind::Held)));
--- a/src/flow/flow_packet.rs
+++ b/src/flow/flow_packet.rs
@@ -5,9 +5,9 @@
 
 /// Flags of a packet, one bit each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct PacketSigns(u8);
+pub struct PacketFlags(u8);
 
-impl PacketSigns {
+impl PacketFlags {
     /// Opens the flow, as a SYN does.
     pub const OPEN: Self = Self(1);
     /// Acknowledges received bytes.
@@ -40,7 +40,7 @@
     /// The receiver's address and port.
     pub destination: SocketAddrV4,
     /// The flags.
-    pub signs: PacketSigns,
+    pub flags: PacketFlags,
     /// The sequence number of its first data byte.
     pub sequence: u32,
     /// The sequence number up to which the sender has received data.
@@ -76,7 +76,7 @@
     /// Returns whether the packet opens a new flow.
     #[must_use]
     pub const fn opens(&self) -> bool {
-        self.signs.has(PacketSigns::OPEN) && !self.signs.has(PacketSigns::ACKNOWLEDGE)
+        self.flags.has(PacketFlags::OPEN) && !self.flags.has(PacketFlags::ACKNOWLEDGE)
     }
 }
 
--- a/src/flow/mod.rs
+++ b/src/flow/mod.rs
@@ -33,7 +33,7 @@
 mod tracked_flow;
 
 pub use flow_key::FlowKey;
-pub use flow_packet::{FlowPacket, FlowReset, PacketSigns};
+pub use flow_packet::{FlowPacket, FlowReset, PacketFlags};
 pub use packet_codec::{PacketCodec, PacketFault};
 
 pub(crate) use agent_flows::AgentFlows;
--- a/src/flow/tests/agent_steps.rs
+++ b/src/flow/tests/agent_steps.rs
@@ -5,7 +5,7 @@
 use super::{BALANCER, agent, bounced, flow, from_caller, from_target};
 use crate::{
     clock::{ClockMillis, SpanMillis},
-    flow::{AgentAction, AgentFlows, AgentTarget, FlowReset, HopHeader, PacketSigns, ReportKind},
+    flow::{AgentAction, AgentFlows, AgentTarget, FlowReset, HopHeader, PacketFlags, ReportKind},
     key::IncarnationId,
     listener::ServiceTag,
 };
@@ -45,27 +45,27 @@
 
 /// Opens a flow and makes the target answer and acknowledge on it.
 fn establish(flows: &mut AgentFlows, port: u16) {
-    let opening = from_caller(flow(port), PacketSigns::OPEN);
+    let opening = from_caller(flow(port), PacketFlags::OPEN);
     delivered_tag(
         flows
             .handle_frame(header(&[2]), &opening, &[1], START)
             .action,
     );
-    let accepted = PacketSigns::OPEN.with(PacketSigns::ACKNOWLEDGE);
+    let accepted = PacketFlags::OPEN.with(PacketFlags::ACKNOWLEDGE);
     flows.handle_target_packet(&from_target(flow(port), accepted), START);
-    flows.handle_target_packet(&from_target(flow(port), PacketSigns::ACKNOWLEDGE), START);
+    flows.handle_target_packet(&from_target(flow(port), PacketFlags::ACKNOWLEDGE), START);
 }
 
 #[test]
 fn an_answered_opening_is_reported_once() {
     let mut flows = flows();
-    let opening = from_caller(flow(1), PacketSigns::OPEN);
+    let opening = from_caller(flow(1), PacketFlags::OPEN);
     delivered_tag(
         flows
             .handle_frame(header(&[2]), &opening, &[1], START)
             .action,
     );
-    let accepted = from_target(flow(1), PacketSigns::OPEN.with(PacketSigns::ACKNOWLEDGE));
+    let accepted = from_target(flow(1), PacketFlags::OPEN.with(PacketFlags::ACKNOWLEDGE));
     let step = flows.handle_target_packet(&accepted, START);
     assert_eq!(step.action, AgentAction::Return);
     let (balancer, report) = step.report.expect("a report");
@@ -77,7 +77,7 @@
 fn an_opening_for_another_service_is_passed_on() {
     let mut flows = flows();
     let other = HopHeader::new(ServiceTag::of("logbook"), BALANCER).with_candidates([agent(2)]);
-    let opening = from_caller(flow(1), PacketSigns::OPEN);
+    let opening = from_caller(flow(1), PacketFlags::OPEN);
     let step = flows.handle_frame(other, &opening, &[1], START);
     assert_eq!(next_agent(step.action), agent(2));
 }
@@ -89,7 +89,7 @@
 fn a_target_that_accepts_no_flows_gets_no_opening(#[case] target: AgentTarget) {
     let mut flows = flows();
     flows.set_target(target, None, LATER);
-    let opening = from_caller(flow(1), PacketSigns::OPEN);
+    let opening = from_caller(flow(1), PacketFlags::OPEN);
     let step = flows.handle_frame(header(&[3]), &opening, &[1], START);
     assert_eq!(next_agent(step.action), agent(3));
     let refused = flows.handle_frame(header(&[]), &opening, &[1], START);
@@ -105,29 +105,29 @@
     let mut flows = flows();
     establish(&mut flows, 1);
     flows.set_target(AgentTarget::Leaving, None, START);
-    let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
+    let data = from_caller(flow(1), PacketFlags::ACKNOWLEDGE);
     delivered_tag(flows.handle_frame(header(&[]), &data, &[1], START).action);
 }
 
 #[test]
 fn an_agent_that_just_started_passes_on_what_its_target_bounces() {
     let mut flows = AgentFlows::new(OWN, service(), 100, SpanMillis::new(60_000));
-    let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
+    let data = from_caller(flow(1), PacketFlags::ACKNOWLEDGE);
     let tag = delivered_tag(
         flows
             .handle_frame(header(&[4, 5]), &data, &[1], START)
             .action,
     );
-    let step = flows.handle_target_packet(&bounced(flow(1), PacketSigns::ACKNOWLEDGE, tag), START);
+    let step = flows.handle_target_packet(&bounced(flow(1), PacketFlags::ACKNOWLEDGE, tag), START);
     assert_eq!(next_agent(step.action), agent(4));
 }
 
 #[test]
 fn a_bounced_packet_without_a_next_candidate_is_reported_and_not_reset() {
     let mut flows = flows();
-    let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
+    let data = from_caller(flow(1), PacketFlags::ACKNOWLEDGE);
     let tag = delivered_tag(flows.handle_frame(header(&[]), &data, &[1], START).action);
-    let step = flows.handle_target_packet(&bounced(flow(1), PacketSigns::ACKNOWLEDGE, tag), START);
+    let step = flows.handle_target_packet(&bounced(flow(1), PacketFlags::ACKNOWLEDGE, tag), START);
     assert_eq!(step.action, AgentAction::Drop);
     assert_eq!(
         step.report.map(|(_, report)| report.kind),
@@ -139,9 +139,9 @@
 fn a_flow_that_its_restarted_target_bounces_is_reset() {
     let mut flows = flows();
     establish(&mut flows, 1);
-    let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
+    let data = from_caller(flow(1), PacketFlags::ACKNOWLEDGE);
     let tag = delivered_tag(flows.handle_frame(header(&[2]), &data, &[1], START).action);
-    let step = flows.handle_target_packet(&bounced(flow(1), PacketSigns::ACKNOWLEDGE, tag), START);
+    let step = flows.handle_target_packet(&bounced(flow(1), PacketFlags::ACKNOWLEDGE, tag), START);
     let AgentAction::Reset(reset) = step.action else {
         panic!("not reset: {:?}", step.action);
     };
@@ -156,14 +156,14 @@
 #[test]
 fn a_bounced_packet_of_an_earlier_run_is_dropped() {
     let mut flows = flows();
-    let step = flows.handle_target_packet(&bounced(flow(1), PacketSigns::ACKNOWLEDGE, 77), START);
+    let step = flows.handle_target_packet(&bounced(flow(1), PacketFlags::ACKNOWLEDGE, 77), START);
     assert_eq!(step.action, AgentAction::Drop);
 }
 
 #[test]
 fn an_unanswered_opening_goes_to_the_next_candidate_within_50_ms() {
     let mut flows = flows();
-    let opening = from_caller(flow(1), PacketSigns::OPEN);
+    let opening = from_caller(flow(1), PacketFlags::OPEN);
     delivered_tag(
         flows
             .handle_frame(header(&[2]), &opening, &[9], START)
@@ -177,25 +177,25 @@
     assert_eq!(next_agent(steps[0].2.action), agent(2));
     // The target is a suspect now, so the next opening does not wait for it.
     assert!(flows.is_suspect());
-    let next = from_caller(flow(2), PacketSigns::OPEN);
+    let next = from_caller(flow(2), PacketFlags::OPEN);
     let step = flows.handle_frame(header(&[2]), &next, &[1], due);
     assert_eq!(next_agent(step.action), agent(2));
     // Any packet from the target ends the suspicion.
-    flows.handle_target_packet(&from_target(flow(3), PacketSigns::ACKNOWLEDGE), due);
+    flows.handle_target_packet(&from_target(flow(3), PacketFlags::ACKNOWLEDGE), due);
     assert!(!flows.is_suspect());
 }
 
 #[test]
 fn a_target_that_lost_one_opening_but_answers_others_is_not_suspected() {
     let mut flows = flows();
-    let opening = from_caller(flow(1), PacketSigns::OPEN);
+    let opening = from_caller(flow(1), PacketFlags::OPEN);
     delivered_tag(
         flows
             .handle_frame(header(&[2]), &opening, &[9], START)
             .action,
     );
     let later = START.after(SpanMillis::new(5));
-    flows.handle_target_packet(&from_target(flow(3), PacketSigns::ACKNOWLEDGE), later);
+    flows.handle_target_packet(&from_target(flow(3), PacketFlags::ACKNOWLEDGE), later);
     let due = flows.next_due().expect("a pending opening");
     assert_eq!(flows.expire_openings(due).len(), 1);
     assert!(!flows.is_suspect());
@@ -212,12 +212,12 @@
     let mut flows = flows();
     flows.set_target(AgentTarget::Serving, Some(IncarnationId::new(1)), START);
     establish(&mut flows, 1);
-    let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
+    let data = from_caller(flow(1), PacketFlags::ACKNOWLEDGE);
     flows.handle_frame(header(&[]), &data, &[1], START);
     // Flow 2 was only looked up here and may be held elsewhere.
     flows.handle_frame(
         header(&[2]),
-        &from_caller(flow(2), PacketSigns::ACKNOWLEDGE),
+        &from_caller(flow(2), PacketFlags::ACKNOWLEDGE),
         &[1],
         START,
     );
@@ -263,8 +263,8 @@
             .is_empty()
     );
     // If the target does not hold the flow, it bounces the next packet.
-    let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
+    let data = from_caller(flow(1), PacketFlags::ACKNOWLEDGE);
     let tag = delivered_tag(flows.handle_frame(header(&[]), &data, &[1], START).action);
-    let step = flows.handle_target_packet(&bounced(flow(1), PacketSigns::ACKNOWLEDGE, tag), START);
+    let step = flows.handle_target_packet(&bounced(flow(1), PacketFlags::ACKNOWLEDGE, tag), START);
     assert!(matches!(step.action, AgentAction::Reset(_)));
 }
--- a/src/flow/tests/balancer_startup.rs
+++ b/src/flow/tests/balancer_startup.rs
@@ -14,7 +14,7 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     flow::{
-        BalancerFlows, FlowPacket, FlowVerdict, PacketSigns, RefusalCause, ReportStep,
+        BalancerFlows, FlowPacket, FlowVerdict, PacketFlags, RefusalCause, ReportStep,
         ServiceTargets,
     },
     listener::{ListenerTable, ServiceTag},
@@ -39,7 +39,7 @@
 }
 
 fn opening(port: u16) -> FlowPacket {
-    from_caller(flow(port), PacketSigns::OPEN)
+    from_caller(flow(port), PacketFlags::OPEN)
 }
 
 #[test]
--- a/src/flow/tests/balancer_verdicts.rs
+++ b/src/flow/tests/balancer_verdicts.rs
@@ -4,7 +4,7 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     flow::{
-        BalancerFlows, FlowReport, FlowVerdict, HopHeader, KnownTargets, PacketSigns, RankedTarget,
+        BalancerFlows, FlowReport, FlowVerdict, HopHeader, KnownTargets, PacketFlags, RankedTarget,
         RefusalCause, ReportKind, ReportStep, ServiceTargets, TargetIncarnation, TargetRanking,
     },
     key::IncarnationId,
@@ -86,12 +86,12 @@
     port: u16,
     now: ClockMillis,
 ) -> (Ipv4Addr, Vec<Ipv4Addr>) {
-    let opening = from_caller(flow(port), PacketSigns::OPEN);
+    let opening = from_caller(flow(port), PacketFlags::OPEN);
     forwarded(flows.handle_packet(&opening, &[1], now))
 }
 
 fn send_data(flows: &mut BalancerFlows, port: u16) -> (Ipv4Addr, Vec<Ipv4Addr>) {
-    let data = from_caller(flow(port), PacketSigns::ACKNOWLEDGE);
+    let data = from_caller(flow(port), PacketFlags::ACKNOWLEDGE);
     forwarded(flows.handle_packet(&data, &[1], START))
 }
 
@@ -208,7 +208,7 @@
 fn an_opening_to_a_removed_route_is_reset_only_while_the_routes_are_current() {
     let mut flows = balancer();
     flows.table_mut().replace(&manifest(2, Vec::new()), START);
-    let opening = from_caller(flow(1), PacketSigns::OPEN);
+    let opening = from_caller(flow(1), PacketFlags::OPEN);
     let verdict = flows.handle_packet(&opening, &[1], START);
     assert!(matches!(
         verdict,
@@ -223,7 +223,7 @@
 fn an_opening_is_parked_before_the_first_routes_are_known() {
     let mut flows = BalancerFlows::new(BALANCER, ListenerTable::new(FLOW_AGE), FLOW_AGE);
     flows.set_current(true);
-    let opening = from_caller(flow(1), PacketSigns::OPEN);
+    let opening = from_caller(flow(1), PacketFlags::OPEN);
     let verdict = flows.handle_packet(&opening, &[1], START);
     assert_eq!(verdict, FlowVerdict::Park(RefusalCause::NotReady));
 }
@@ -231,7 +231,7 @@
 /// Sends data of flow 1, whose owner is not known; returns the agent that is asked
 /// first and the frame's header.
 fn start_lookup(flows: &mut BalancerFlows) -> (Ipv4Addr, HopHeader) {
-    let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
+    let data = from_caller(flow(1), PacketFlags::ACKNOWLEDGE);
     match flows.handle_packet(&data, &[1], START) {
         FlowVerdict::Forward { to, header } => (to, header),
         other => panic!("not forwarded: {other:?}"),
@@ -354,7 +354,7 @@
         id: Some(INCARNATION),
         ended: true,
     });
-    let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
+    let data = from_caller(flow(1), PacketFlags::ACKNOWLEDGE);
     let verdict = flows.handle_packet(&data, &[1], START);
     assert!(matches!(
         verdict,
--- a/src/flow/tests/full_target.rs
+++ b/src/flow/tests/full_target.rs
@@ -8,7 +8,7 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     flow::{
-        AgentAction, AgentFlows, AgentTarget, FlowKey, FlowPacket, HopHeader, PacketSigns,
+        AgentAction, AgentFlows, AgentTarget, FlowKey, FlowPacket, HopHeader, PacketFlags,
         ReportKind,
     },
     listener::{RouteUrgency, ServiceTag},
@@ -43,7 +43,7 @@
 }
 
 fn offer(flows: &mut AgentFlows, port: u16, rank: u8, now: ClockMillis) -> AgentAction {
-    let opening = from_caller(flow(port), PacketSigns::OPEN);
+    let opening = from_caller(flow(port), PacketFlags::OPEN);
     flows
         .handle_frame(header(rank, &[]), &opening, &[1], now)
         .action
@@ -52,21 +52,21 @@
 fn request(flow: FlowKey) -> FlowPacket {
     FlowPacket {
         data_bytes: 100,
-        ..from_caller(flow, PacketSigns::ACKNOWLEDGE)
+        ..from_caller(flow, PacketFlags::ACKNOWLEDGE)
     }
 }
 
 fn answer(flow: FlowKey) -> FlowPacket {
     FlowPacket {
         data_bytes: 100,
-        ..from_target(flow, PacketSigns::ACKNOWLEDGE)
+        ..from_target(flow, PacketFlags::ACKNOWLEDGE)
     }
 }
 
 /// Opens a flow and sends a request on it.
 fn open_and_request(flows: &mut AgentFlows, port: u16, now: ClockMillis) {
     offer(flows, port, 2, now);
-    let accepted = PacketSigns::OPEN.with(PacketSigns::ACKNOWLEDGE);
+    let accepted = PacketFlags::OPEN.with(PacketFlags::ACKNOWLEDGE);
     flows.handle_target_packet(&from_target(flow(port), accepted), now);
     flows.handle_frame(header(2, &[]), &request(flow(port)), &[1], now);
 }
@@ -98,7 +98,7 @@
 #[test]
 fn a_full_target_passes_an_opening_on() {
     let mut flows = full_agent();
-    let opening = from_caller(flow(9), PacketSigns::OPEN);
+    let opening = from_caller(flow(9), PacketFlags::OPEN);
     let step = flows.handle_frame(header(2, &[4]), &opening, &[1], START);
     assert!(matches!(step.action, AgentAction::PassOn { to, .. } if to == agent(4)));
 }
@@ -106,7 +106,7 @@
 #[test]
 fn the_last_candidate_queues_an_opening_until_a_slot_is_free() {
     let mut flows = full_agent();
-    let opening = from_caller(flow(9), PacketSigns::OPEN);
+    let opening = from_caller(flow(9), PacketFlags::OPEN);
     let step = flows.handle_frame(header(2, &[]), &opening, &[1], START);
     assert_eq!(step.action, AgentAction::Wait);
     let report = step.report.map(|(to, report)| (to, report.kind));
@@ -145,7 +145,7 @@
 #[test]
 fn a_retransmitted_opening_has_the_age_of_the_first_one() {
     let mut flows = full_agent();
-    let retransmission = from_caller(flow(9), PacketSigns::OPEN);
+    let retransmission = from_caller(flow(9), PacketFlags::OPEN);
     let aged = header(1, &[]).with_age(SpanMillis::new(600));
     flows.handle_frame(aged, &retransmission, &[1], at(20));
     offer(&mut flows, 10, 2, at(0));
@@ -215,7 +215,7 @@
         offer(&mut flows, 8, 2, START),
         AgentAction::Deliver { .. }
     ));
-    let accepted = PacketSigns::OPEN.with(PacketSigns::ACKNOWLEDGE);
+    let accepted = PacketFlags::OPEN.with(PacketFlags::ACKNOWLEDGE);
     flows.handle_target_packet(&from_target(flow(8), accepted), START);
     offer(&mut flows, 9, 2, START);
     assert_eq!(admitted(&mut flows, at(29)), [0; 0]);
@@ -231,7 +231,7 @@
         panic!("not delivered: {step:?}");
     };
     assert_eq!(flows.busy(), usize::from(MAX_IN_FLIGHT) + 1);
-    flows.handle_target_packet(&bounced(flow(7), PacketSigns::ACKNOWLEDGE, tag), START);
+    flows.handle_target_packet(&bounced(flow(7), PacketFlags::ACKNOWLEDGE, tag), START);
     assert_eq!(flows.busy(), usize::from(MAX_IN_FLIGHT));
 }
 
--- a/src/flow/tests/mod.rs
+++ b/src/flow/tests/mod.rs
@@ -12,7 +12,7 @@
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use super::{FlowKey, FlowPacket, PacketSigns};
+use super::{FlowKey, FlowPacket, PacketFlags};
 use crate::clock::SpanMillis;
 
 /// The address of the balancer.
@@ -37,11 +37,11 @@
 }
 
 /// Returns a packet from the caller of a flow.
-fn from_caller(flow: FlowKey, signs: PacketSigns) -> FlowPacket {
+fn from_caller(flow: FlowKey, flags: PacketFlags) -> FlowPacket {
     FlowPacket {
         source: flow.caller,
         destination: flow.listener,
-        signs,
+        flags,
         sequence: 1,
         acknowledged: 7,
         data_bytes: 0,
@@ -51,18 +51,18 @@
 }
 
 /// Returns a packet from the target of a flow.
-fn from_target(flow: FlowKey, signs: PacketSigns) -> FlowPacket {
+fn from_target(flow: FlowKey, flags: PacketFlags) -> FlowPacket {
     FlowPacket {
         source: flow.listener,
         destination: flow.caller,
-        ..from_caller(flow, signs)
+        ..from_caller(flow, flags)
     }
 }
 
 /// Returns a caller's packet as bounced by its target.
-fn bounced(flow: FlowKey, signs: PacketSigns, tag: u32) -> FlowPacket {
+fn bounced(flow: FlowKey, flags: PacketFlags, tag: u32) -> FlowPacket {
     FlowPacket {
         tag,
-        ..from_caller(flow, signs.with(PacketSigns::BOUNCED))
+        ..from_caller(flow, flags.with(PacketFlags::BOUNCED))
     }
 }
--- a/src/flow/tests/opening_burst.rs
+++ b/src/flow/tests/opening_burst.rs
@@ -11,7 +11,7 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     flow::{
-        AgentAction, AgentFlows, AgentTarget, FlowKey, FlowPacket, HopHeader, PacketSigns,
+        AgentAction, AgentFlows, AgentTarget, FlowKey, FlowPacket, HopHeader, PacketFlags,
         RankedTarget, TargetRanking,
     },
     listener::{RouteUrgency, ServiceTag},
@@ -109,7 +109,7 @@
             .with_candidates(self.ranking.rank(flow, usize::from(TARGETS)));
         let mut hop = header.next_hop();
         while let Some((at, header)) = hop {
-            let opening = from_caller(flow, PacketSigns::OPEN);
+            let opening = from_caller(flow, PacketFlags::OPEN);
             let (number, flows, _) = self.agents.get_mut(&at).expect("an agent");
             let number = *number;
             match flows.handle_frame(header, &opening, &[1], now).action {
@@ -123,7 +123,7 @@
 
     /// Lets the target answer an opening and schedules the caller's request.
     fn accept(&mut self, number: u8, flow: FlowKey, now: ClockMillis) {
-        let accepted = PacketSigns::OPEN.with(PacketSigns::ACKNOWLEDGE);
+        let accepted = PacketFlags::OPEN.with(PacketFlags::ACKNOWLEDGE);
         let (_, flows, _) = self.agents.get_mut(&agent(number)).expect("an agent");
         flows.handle_target_packet(&from_target(flow, accepted), now);
         self.schedule(
@@ -136,7 +136,7 @@
     fn request(&mut self, number: u8, flow: FlowKey, now: ClockMillis) {
         let packet = FlowPacket {
             data_bytes: 100,
-            ..from_caller(flow, PacketSigns::ACKNOWLEDGE)
+            ..from_caller(flow, PacketFlags::ACKNOWLEDGE)
         };
         let header = HopHeader::new(service(), BALANCER);
         let (_, flows, target) = self.agents.get_mut(&agent(number)).expect("an agent");
@@ -148,7 +148,7 @@
     fn answer(&mut self, number: u8, flow: FlowKey, now: ClockMillis) {
         let packet = FlowPacket {
             data_bytes: 100,
-            ..from_target(flow, PacketSigns::ACKNOWLEDGE)
+            ..from_target(flow, PacketFlags::ACKNOWLEDGE)
         };
         let (_, flows, target) = self.agents.get_mut(&agent(number)).expect("an agent");
         flows.handle_target_packet(&packet, now);
--- a/src/flow/tests/overload.rs
+++ b/src/flow/tests/overload.rs
@@ -6,7 +6,7 @@
 use super::{BALANCER, agent, bounced, flow, from_caller};
 use crate::{
     clock::{ClockMillis, SpanMillis},
-    flow::{AgentAction, AgentFlows, AgentTarget, HopHeader, PacketSigns},
+    flow::{AgentAction, AgentFlows, AgentTarget, HopHeader, PacketFlags},
     listener::ServiceTag,
 };
 
@@ -20,7 +20,7 @@
 ///
 /// Returns the agents that were tried and whether the caller was refused.
 fn offer(candidates: &[u8], full: &[u8]) -> (Vec<Ipv4Addr>, bool) {
-    let opening = from_caller(flow(1), PacketSigns::OPEN);
+    let opening = from_caller(flow(1), PacketFlags::OPEN);
     let agents = candidates.iter().copied().map(agent);
     let header = HopHeader::new(service(), BALANCER).with_candidates(agents);
     let mut tried = Vec::new();
@@ -36,7 +36,7 @@
         if !full.iter().any(|number| agent(*number) == at) {
             return (tried, false);
         }
-        let bounce = bounced(flow(1), PacketSigns::OPEN, tag);
+        let bounce = bounced(flow(1), PacketFlags::OPEN, tag);
         hop = match flows.handle_target_packet(&bounce, START).action {
             AgentAction::PassOn { to, header } => Some((to, header)),
             AgentAction::Reset(_) => return (tried, true),
