--- a/src/fleet/entry_packets.rs
+++ b/src/fleet/entry_packets.rs
@@ -80,7 +80,7 @@
         header: &HopHeader,
         now: ClockMillis,
     ) {
-        let event = if packet.opens() {
+        let event = if packet.is_opening() {
             self.counters.opened += 1;
             FleetEvent::FlowOpened
         } else if header.candidates().is_empty() {
--- a/src/flow/agent_flows.rs
+++ b/src/flow/agent_flows.rs
@@ -150,7 +150,7 @@
         bytes: &[u8],
         now: ClockMillis,
     ) -> AgentStep {
-        if packet.opens() {
+        if packet.is_opening() {
             if header.service != self.service {
                 // The address belonged to another service before.
                 return self.pass_on(header, packet);
@@ -226,7 +226,7 @@
         };
         let flow = packet.caller_flow();
         self.load.cancel(flow);
-        if packet.opens() {
+        if packet.is_opening() {
             self.openings.remove(flow);
             return self.pass_on(header, packet);
         }
@@ -275,7 +275,7 @@
     pub(super) fn pass_on(&self, header: HopHeader, packet: &FlowPacket) -> AgentStep {
         match header.next_hop() {
             Some((to, header)) => AgentStep::without_report(AgentAction::PassOn { to, header }),
-            None if packet.opens() => self.reset_flow(header, packet, ReportKind::Refused),
+            None if packet.is_opening() => self.reset_flow(header, packet, ReportKind::Refused),
             None => AgentStep {
                 action: AgentAction::Drop,
                 report: Some((
--- a/src/flow/balancer_flows.rs
+++ b/src/flow/balancer_flows.rs
@@ -173,7 +173,7 @@
             self.owners.remove(flow);
             return self.refuse(packet, bytes, RefusalCause::NoRoute, now);
         };
-        if packet.opens() {
+        if packet.is_opening() {
             return self.open_flow(packet, bytes, &choice, now);
         }
         self.continue_flow(packet, bytes, &choice.owner_services, now)
--- a/src/flow/flow_packet.rs
+++ b/src/flow/flow_packet.rs
@@ -75,7 +75,7 @@
 
     /// Returns whether the packet opens a new flow.
     #[must_use]
-    pub const fn opens(&self) -> bool {
+    pub const fn is_opening(&self) -> bool {
         self.flags.has(PacketFlags::OPEN) && !self.flags.has(PacketFlags::ACKNOWLEDGE)
     }
 }
@@ -94,7 +94,7 @@
     /// Creates the reset in response to a caller's packet.
     #[must_use]
     pub const fn answering(packet: &FlowPacket) -> Self {
-        let sequence = if packet.opens() {
+        let sequence = if packet.is_opening() {
             0
         } else {
             packet.acknowledged
