--- a/src/fleet/side_packets.rs
+++ b/src/fleet/side_packets.rs
@@ -45,7 +45,7 @@
             && let Some(request) = request_id(self.codec.data(frame.packet))
             && self.log_limiter.allows(FleetEvent::RequestDelivered, now)
         {
-            log_event!(info, FleetEvent::RequestDelivered, request, flow = %packet.caller_flow(), hops = frame.header.hops, target = ?self.tracker.target(), action = %step.action);
+            log_event!(info, FleetEvent::RequestDelivered, request, flow = %packet.caller_flow(), hops = frame.header.hops, target = ?self.tracker.lifecycle(), action = %step.action);
         }
         self.apply_step(step, frame.packet, packet.caller_flow(), now);
     }
--- a/src/fleet/side_target.rs
+++ b/src/fleet/side_target.rs
@@ -25,13 +25,15 @@
     /// Updates whether the target accepts flows, resets the flows that are gone,
     /// and returns the standing to announce.
     pub(super) fn refresh_standing(&mut self, now: ClockMillis) -> TargetStanding {
-        let target = self.tracker.target();
+        let lifecycle = self.tracker.lifecycle();
         let incarnation = self.tracker.incarnation();
         let gone_before = self.tracker.stale_flows_before(now);
         self.flows.set_slots(self.tracker.slots());
-        let resets = self.flows.set_target(target, incarnation, gone_before);
+        let resets = self
+            .flows
+            .set_lifecycle(lifecycle, incarnation, gone_before);
         if !resets.is_empty() {
-            log_event!(info, FleetEvent::FlowsGone, ?target, flows = resets.len());
+            log_event!(info, FleetEvent::FlowsGone, target = ?lifecycle, flows = resets.len());
         }
         for reset in resets {
             self.counters.reset += 1;
@@ -43,7 +45,7 @@
         if (suspect || silent) && now >= self.probe_at {
             self.probe_target(now);
         }
-        self.tracker.standing(target, suspect || silent, now)
+        self.tracker.standing(lifecycle, suspect || silent, now)
     }
 
     /// Probes whether anything listens at the target's address; on the same VM a
--- a/src/fleet/target_tracker.rs
+++ b/src/fleet/target_tracker.rs
@@ -4,7 +4,7 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     directory::TargetStanding,
-    flow::AgentTarget,
+    flow::TargetLifecycle,
     key::IncarnationId,
 };
 
@@ -136,18 +136,18 @@
     }
 
     /// Returns whether the target accepts new flows and still holds its flows.
-    pub(crate) fn target(&self) -> AgentTarget {
+    pub(crate) fn lifecycle(&self) -> TargetLifecycle {
         if self.ended {
-            return AgentTarget::Ended;
+            return TargetLifecycle::Ended;
         }
         if self.absent {
-            return AgentTarget::Lost;
+            return TargetLifecycle::Lost;
         }
         match &self.latest_notice {
-            None => AgentTarget::Unproved,
+            None => TargetLifecycle::Unproved,
             Some(notice) => match notice.state {
-                TargetState::Ready => AgentTarget::Serving,
-                TargetState::Draining => AgentTarget::Leaving,
+                TargetState::Ready => TargetLifecycle::Serving,
+                TargetState::Draining => TargetLifecycle::Leaving,
             },
         }
     }
@@ -156,18 +156,20 @@
     /// tells whether it is silent or leaves openings unanswered.
     pub(crate) fn standing(
         &self,
-        target: AgentTarget,
+        lifecycle: TargetLifecycle,
         suspect: bool,
         now: ClockMillis,
     ) -> TargetStanding {
-        match target {
-            AgentTarget::Ended | AgentTarget::Lost => TargetStanding::Ended,
-            AgentTarget::Leaving => TargetStanding::Leaving,
-            AgentTarget::Unproved | AgentTarget::Serving if suspect => TargetStanding::Silent,
-            AgentTarget::Unproved | AgentTarget::Serving if now < self.warm_up_until => {
+        match lifecycle {
+            TargetLifecycle::Ended | TargetLifecycle::Lost => TargetStanding::Ended,
+            TargetLifecycle::Leaving => TargetStanding::Leaving,
+            TargetLifecycle::Unproved | TargetLifecycle::Serving if suspect => {
+                TargetStanding::Silent
+            }
+            TargetLifecycle::Unproved | TargetLifecycle::Serving if now < self.warm_up_until => {
                 TargetStanding::Warming
             }
-            AgentTarget::Unproved | AgentTarget::Serving => TargetStanding::Serving,
+            TargetLifecycle::Unproved | TargetLifecycle::Serving => TargetStanding::Serving,
         }
     }
 }
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -10,7 +10,7 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     directory::TargetStanding,
-    flow::AgentTarget,
+    flow::TargetLifecycle,
 };
 
 const HEARTBEAT: SpanMillis = SpanMillis::new(1_200);
@@ -41,11 +41,11 @@
 fn a_draining_target_is_leaving_once_its_announcement_is_acknowledged() {
     let mut tracker = tracker();
     tracker.apply_notice(notice("i-1", 50, 8, TargetState::Draining), START);
-    assert_eq!(tracker.target(), AgentTarget::Leaving);
+    assert_eq!(tracker.lifecycle(), TargetLifecycle::Leaving);
     // A delayed announcement does not bring it back.
     let late = tracker.apply_notice(notice("i-1", 50, 7, TargetState::Ready), START);
     assert_eq!(late, NoticeVerdict::Late);
-    assert_eq!(tracker.target(), AgentTarget::Leaving);
+    assert_eq!(tracker.lifecycle(), TargetLifecycle::Leaving);
 }
 
 #[test]
@@ -58,7 +58,7 @@
     // A delayed announcement of the earlier incarnation.
     let late = tracker.apply_notice(notice("i-1", 50, 99, TargetState::Draining), START);
     assert_eq!(late, NoticeVerdict::Late);
-    assert_eq!(tracker.target(), AgentTarget::Serving);
+    assert_eq!(tracker.lifecycle(), TargetLifecycle::Serving);
 }
 
 #[test]
@@ -68,9 +68,9 @@
     assert_eq!(tracker.note_ended("i-1"), NoticeVerdict::Taken);
     let late = tracker.apply_notice(notice("i-1", 50, 8, TargetState::Ready), START);
     assert_eq!(late, NoticeVerdict::Late);
-    assert_eq!(tracker.target(), AgentTarget::Ended);
+    assert_eq!(tracker.lifecycle(), TargetLifecycle::Ended);
     tracker.apply_notice(notice("i-2", 70, 1, TargetState::Ready), START);
-    assert_eq!(tracker.target(), AgentTarget::Serving);
+    assert_eq!(tracker.lifecycle(), TargetLifecycle::Serving);
 }
 
 #[test]
@@ -85,9 +85,9 @@
 fn a_target_is_lost_while_nothing_listens_at_its_address() {
     let mut tracker = tracker();
     tracker.note_presence(false, after(3));
-    assert_eq!(tracker.target(), AgentTarget::Lost);
+    assert_eq!(tracker.lifecycle(), TargetLifecycle::Lost);
     tracker.apply_notice(notice("i-2", 70, 1, TargetState::Ready), after(4));
-    assert_eq!(tracker.target(), AgentTarget::Serving);
+    assert_eq!(tracker.lifecycle(), TargetLifecycle::Serving);
     tracker.note_presence(true, after(9));
     assert!(!tracker.is_silent(None, after(11)));
 }
@@ -95,7 +95,7 @@
 #[test]
 fn a_target_that_leaves_openings_unanswered_is_announced_as_silent() {
     let tracker = tracker();
-    let standing = tracker.standing(AgentTarget::Serving, true, START);
+    let standing = tracker.standing(TargetLifecycle::Serving, true, START);
     assert_eq!(standing, TargetStanding::Silent);
 }
 
@@ -105,7 +105,7 @@
     let mut cold = notice("i-2", 60, 1, TargetState::Ready);
     cold.warm_up_left = SpanMillis::new(2_000);
     tracker.apply_notice(cold, START);
-    let standing = |at| tracker.standing(AgentTarget::Serving, false, at);
+    let standing = |at| tracker.standing(TargetLifecycle::Serving, false, at);
     assert_eq!(standing(START), TargetStanding::Warming);
     assert_eq!(
         standing(START.after(SpanMillis::new(2_000))),
--- a/src/flow/agent_flows.rs
+++ b/src/flow/agent_flows.rs
@@ -1,8 +1,8 @@
 use std::{collections::HashMap, net::Ipv4Addr};
 
 use super::{
-    AgentAction, AgentFlowInfo, AgentStep, AgentTarget, FlowKey, FlowPacket, FlowReport, FlowReset,
-    HopHeader, PacketFlags, ReportKind,
+    AgentAction, AgentFlowInfo, AgentStep, FlowKey, FlowPacket, FlowReport, FlowReset, HopHeader,
+    PacketFlags, ReportKind, TargetLifecycle,
     delivery_ring::DeliveryRing,
     opening_queue::OpeningQueue,
     pending_openings::{PendingOpening, PendingOpenings},
@@ -27,7 +27,7 @@
 pub(crate) struct AgentFlows {
     pub(super) own_address: Ipv4Addr,
     pub(super) service: ServiceTag,
-    pub(super) target: AgentTarget,
+    pub(super) lifecycle: TargetLifecycle,
     pub(super) incarnation: Option<IncarnationId>,
     pub(super) health: TargetHealth,
     pub(super) tracked: HashMap<FlowKey, TrackedFlow>,
@@ -52,7 +52,7 @@
         Self {
             own_address,
             service,
-            target: AgentTarget::Unproved,
+            lifecycle: TargetLifecycle::Unproved,
             incarnation: None,
             health: TargetHealth::default(),
             tracked: HashMap::new(),
@@ -72,15 +72,15 @@
     /// answered with one. Flows first seen at or after `cutoff` are kept, since
     /// a restarted target may have accepted them before it announced itself; if
     /// it has not, it bounces their next packet.
-    pub(crate) fn set_target(
+    pub(crate) fn set_lifecycle(
         &mut self,
-        target: AgentTarget,
+        lifecycle: TargetLifecycle,
         incarnation: Option<IncarnationId>,
         cutoff: ClockMillis,
     ) -> Vec<FlowReset> {
         let restarted = self.incarnation.is_some() && self.incarnation != incarnation;
-        let ended = matches!(target, AgentTarget::Ended | AgentTarget::Lost);
-        self.target = target;
+        let ended = matches!(lifecycle, TargetLifecycle::Ended | TargetLifecycle::Lost);
+        self.lifecycle = lifecycle;
         self.incarnation = incarnation;
         if !restarted && !ended {
             return Vec::new();
@@ -161,7 +161,10 @@
         // been opened under a former service of its route, and the target
         // bounces packets of flows that it does not hold.
         let flow = packet.caller_flow();
-        if matches!(self.target, AgentTarget::Ended | AgentTarget::Lost) {
+        if matches!(
+            self.lifecycle,
+            TargetLifecycle::Ended | TargetLifecycle::Lost
+        ) {
             return match self.tracked.remove(&flow) {
                 Some(tracked) if tracked.established => {
                     self.reset_flow(header, packet, ReportKind::Gone)
--- a/src/flow/agent_openings.rs
+++ b/src/flow/agent_openings.rs
@@ -2,8 +2,8 @@
 //! it has a free slot, pass them on or refuse them.
 
 use super::{
-    AgentAction, AgentFlows, AgentStep, AgentTarget, DequeuedOpening, FlowKey, FlowPacket,
-    FlowReset, HopHeader, ReportKind, pending_openings::PendingOpening,
+    AgentAction, AgentFlows, AgentStep, DequeuedOpening, FlowKey, FlowPacket, FlowReset, HopHeader,
+    ReportKind, TargetLifecycle, pending_openings::PendingOpening,
 };
 use crate::clock::ClockMillis;
 
@@ -18,12 +18,12 @@
     ) -> AgentStep {
         let flow = packet.caller_flow();
         let retransmitted = self.tracked.contains_key(&flow) || self.openings.contains(flow);
-        let accepts = match self.target {
-            AgentTarget::Unproved | AgentTarget::Serving => {
+        let accepts = match self.lifecycle {
+            TargetLifecycle::Unproved | TargetLifecycle::Serving => {
                 retransmitted || !self.health.is_suspect() || header.candidates().is_empty()
             }
-            AgentTarget::Leaving => self.tracked.contains_key(&flow),
-            AgentTarget::Ended | AgentTarget::Lost => false,
+            TargetLifecycle::Leaving => self.tracked.contains_key(&flow),
+            TargetLifecycle::Ended | TargetLifecycle::Lost => false,
         };
         if !accepts {
             return self.pass_on(header, packet);
@@ -72,7 +72,10 @@
     /// Removes the next opening that need not wait any longer from the queue: it
     /// is refused if it can't be served in time, or delivered to a free slot.
     pub(crate) fn next_waiting(&mut self, now: ClockMillis) -> Option<DequeuedOpening> {
-        let accepts = matches!(self.target, AgentTarget::Unproved | AgentTarget::Serving);
+        let accepts = matches!(
+            self.lifecycle,
+            TargetLifecycle::Unproved | TargetLifecycle::Serving
+        );
         let unservable = self
             .evicted
             .pop()
--- a/src/flow/agent_step.rs
+++ b/src/flow/agent_step.rs
@@ -7,7 +7,7 @@
 
 /// The state of the target as its agent sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum AgentTarget {
+pub(crate) enum TargetLifecycle {
     /// The agent has just started and the target has not announced itself; it may
     /// hold flows and may accept new ones.
     Unproved,
--- a/src/flow/mod.rs
+++ b/src/flow/mod.rs
@@ -37,7 +37,7 @@
 pub use packet_codec::{PacketCodec, PacketFault};
 
 pub(crate) use agent_flows::AgentFlows;
-pub(crate) use agent_step::{AgentAction, AgentStep, AgentTarget, DequeuedOpening};
+pub(crate) use agent_step::{AgentAction, AgentStep, DequeuedOpening, TargetLifecycle};
 pub(crate) use balancer_flows::BalancerFlows;
 pub(crate) use flow_info::{AgentFlowInfo, BalancerFlowInfo, FlowOwnerInfo};
 pub(crate) use flow_report::{FlowReport, ReportKind};
--- a/src/flow/tests/agent_steps.rs
+++ b/src/flow/tests/agent_steps.rs
@@ -5,7 +5,9 @@
 use super::{BALANCER, agent, bounced, flow, from_caller, from_target};
 use crate::{
     clock::{ClockMillis, SpanMillis},
-    flow::{AgentAction, AgentFlows, AgentTarget, FlowReset, HopHeader, PacketFlags, ReportKind},
+    flow::{
+        AgentAction, AgentFlows, FlowReset, HopHeader, PacketFlags, ReportKind, TargetLifecycle,
+    },
     key::IncarnationId,
     listener::ServiceTag,
 };
@@ -21,7 +23,7 @@
 
 fn flows() -> AgentFlows {
     let mut flows = AgentFlows::new(OWN, service(), 100, SpanMillis::new(60_000));
-    flows.set_target(AgentTarget::Serving, None, START);
+    flows.set_lifecycle(TargetLifecycle::Serving, None, START);
     flows
 }
 
@@ -83,12 +85,12 @@
 }
 
 #[rstest]
-#[case::leaving(AgentTarget::Leaving)]
-#[case::ended(AgentTarget::Ended)]
-#[case::lost(AgentTarget::Lost)]
-fn a_target_that_accepts_no_flows_gets_no_opening(#[case] target: AgentTarget) {
+#[case::leaving(TargetLifecycle::Leaving)]
+#[case::ended(TargetLifecycle::Ended)]
+#[case::lost(TargetLifecycle::Lost)]
+fn a_target_that_accepts_no_flows_gets_no_opening(#[case] lifecycle: TargetLifecycle) {
     let mut flows = flows();
-    flows.set_target(target, None, LATER);
+    flows.set_lifecycle(lifecycle, None, LATER);
     let opening = from_caller(flow(1), PacketFlags::OPEN);
     let step = flows.handle_frame(header(&[3]), &opening, &[1], START);
     assert_eq!(next_agent(step.action), agent(3));
@@ -104,7 +106,7 @@
 fn a_leaving_target_keeps_its_flows() {
     let mut flows = flows();
     establish(&mut flows, 1);
-    flows.set_target(AgentTarget::Leaving, None, START);
+    flows.set_lifecycle(TargetLifecycle::Leaving, None, START);
     let data = from_caller(flow(1), PacketFlags::ACKNOWLEDGE);
     delivered_tag(flows.handle_frame(header(&[]), &data, &[1], START).action);
 }
@@ -202,15 +204,15 @@
 }
 
 #[rstest]
-#[case::crashed(AgentTarget::Lost, None)]
-#[case::ended(AgentTarget::Ended, None)]
-#[case::restarted(AgentTarget::Serving, Some(IncarnationId::new(2)))]
+#[case::crashed(TargetLifecycle::Lost, None)]
+#[case::ended(TargetLifecycle::Ended, None)]
+#[case::restarted(TargetLifecycle::Serving, Some(IncarnationId::new(2)))]
 fn established_flows_of_a_lost_target_are_reset_without_waiting_for_a_packet(
-    #[case] target: AgentTarget,
+    #[case] lifecycle: TargetLifecycle,
     #[case] incarnation: Option<IncarnationId>,
 ) {
     let mut flows = flows();
-    flows.set_target(AgentTarget::Serving, Some(IncarnationId::new(1)), START);
+    flows.set_lifecycle(TargetLifecycle::Serving, Some(IncarnationId::new(1)), START);
     establish(&mut flows, 1);
     let data = from_caller(flow(1), PacketFlags::ACKNOWLEDGE);
     flows.handle_frame(header(&[]), &data, &[1], START);
@@ -221,7 +223,7 @@
         &[1],
         START,
     );
-    let resets = flows.set_target(target, incarnation, LATER);
+    let resets = flows.set_lifecycle(lifecycle, incarnation, LATER);
     assert_eq!(
         resets,
         [FlowReset {
@@ -229,7 +231,11 @@
             sequence: 7
         }]
     );
-    assert!(flows.set_target(target, incarnation, LATER).is_empty());
+    assert!(
+        flows
+            .set_lifecycle(lifecycle, incarnation, LATER)
+            .is_empty()
+    );
 }
 
 #[test]
@@ -239,12 +245,12 @@
     establish(&mut flows, 1);
     assert!(
         flows
-            .set_target(AgentTarget::Serving, incarnation, LATER)
+            .set_lifecycle(TargetLifecycle::Serving, incarnation, LATER)
             .is_empty()
     );
     assert!(
         flows
-            .set_target(AgentTarget::Leaving, incarnation, LATER)
+            .set_lifecycle(TargetLifecycle::Leaving, incarnation, LATER)
             .is_empty()
     );
 }
@@ -254,12 +260,12 @@
 #[test]
 fn a_flow_that_the_new_incarnation_may_hold_is_not_reset() {
     let mut flows = flows();
-    flows.set_target(AgentTarget::Serving, Some(IncarnationId::new(1)), START);
+    flows.set_lifecycle(TargetLifecycle::Serving, Some(IncarnationId::new(1)), START);
     establish(&mut flows, 1);
     let restarted = Some(IncarnationId::new(2));
     assert!(
         flows
-            .set_target(AgentTarget::Serving, restarted, START)
+            .set_lifecycle(TargetLifecycle::Serving, restarted, START)
             .is_empty()
     );
     // If the target does not hold the flow, it bounces the next packet.
--- a/src/flow/tests/full_target.rs
+++ b/src/flow/tests/full_target.rs
@@ -8,8 +8,8 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     flow::{
-        AgentAction, AgentFlows, AgentTarget, FlowKey, FlowPacket, HopHeader, PacketFlags,
-        ReportKind,
+        AgentAction, AgentFlows, FlowKey, FlowPacket, HopHeader, PacketFlags, ReportKind,
+        TargetLifecycle,
     },
     listener::{RouteUrgency, ServiceTag},
 };
@@ -76,7 +76,7 @@
 fn full_agent() -> AgentFlows {
     let mut flows = AgentFlows::new(OWN, service(), 100, SpanMillis::new(60_000));
     flows.set_slots(Some(SLOTS));
-    flows.set_target(AgentTarget::Serving, None, START);
+    flows.set_lifecycle(TargetLifecycle::Serving, None, START);
     for port in 1..=MAX_IN_FLIGHT {
         open_and_request(&mut flows, port, START);
     }
@@ -186,13 +186,15 @@
 }
 
 #[rstest]
-#[case::leaving(AgentTarget::Leaving)]
-#[case::ended(AgentTarget::Ended)]
-#[case::lost(AgentTarget::Lost)]
-fn queued_openings_are_refused_once_the_target_accepts_no_flows(#[case] target: AgentTarget) {
+#[case::leaving(TargetLifecycle::Leaving)]
+#[case::ended(TargetLifecycle::Ended)]
+#[case::lost(TargetLifecycle::Lost)]
+fn queued_openings_are_refused_once_the_target_accepts_no_flows(
+    #[case] lifecycle: TargetLifecycle,
+) {
     let mut flows = full_agent();
     offer(&mut flows, 9, 2, START);
-    flows.set_target(target, None, START);
+    flows.set_lifecycle(lifecycle, None, START);
     flows.handle_target_packet(&answer(flow(1)), at(10));
     let end = flows.next_waiting(at(10)).expect("a refusal");
     assert!(matches!(end.step.action, AgentAction::Reset(_)));
--- a/src/flow/tests/opening_burst.rs
+++ b/src/flow/tests/opening_burst.rs
@@ -11,8 +11,8 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     flow::{
-        AgentAction, AgentFlows, AgentTarget, FlowKey, FlowPacket, HopHeader, PacketFlags,
-        RankedTarget, TargetRanking,
+        AgentAction, AgentFlows, FlowKey, FlowPacket, HopHeader, PacketFlags, RankedTarget,
+        TargetLifecycle, TargetRanking,
     },
     listener::{RouteUrgency, ServiceTag},
 };
@@ -64,7 +64,7 @@
             let address = agent(number);
             let mut flows = AgentFlows::new(address, service(), 1, SpanMillis::new(60_000));
             flows.set_slots(Some(4));
-            flows.set_target(AgentTarget::Serving, None, ClockMillis::ORIGIN);
+            flows.set_lifecycle(TargetLifecycle::Serving, None, ClockMillis::ORIGIN);
             (address, (number, flows, ModelTarget::default()))
         });
         let ranked = (1..=TARGETS).map(|number| RankedTarget {
--- a/src/flow/tests/overload.rs
+++ b/src/flow/tests/overload.rs
@@ -6,7 +6,7 @@
 use super::{BALANCER, agent, bounced, flow, from_caller};
 use crate::{
     clock::{ClockMillis, SpanMillis},
-    flow::{AgentAction, AgentFlows, AgentTarget, HopHeader, PacketFlags},
+    flow::{AgentAction, AgentFlows, HopHeader, PacketFlags, TargetLifecycle},
     listener::ServiceTag,
 };
 
@@ -28,7 +28,7 @@
     while let Some((at, header)) = hop {
         tried.push(at);
         let mut flows = AgentFlows::new(at, service(), 1, SpanMillis::new(60_000));
-        flows.set_target(AgentTarget::Serving, None, START);
+        flows.set_lifecycle(TargetLifecycle::Serving, None, START);
         let step = flows.handle_frame(header, &opening, &[1], START);
         let AgentAction::Deliver { tag } = step.action else {
             panic!("not delivered: {step:?}");
