--- a/src/fleet/entry_packets.rs
+++ b/src/fleet/entry_packets.rs
@@ -66,7 +66,7 @@
 
     /// Dispatches again the packets that were parked for routes or targets.
     pub(super) fn retry_parked(&mut self) {
-        for (parked_for, packet) in self.flows.take_parked(self.clock.now()) {
+        for (parked_for, packet) in self.flows.drain_parked(self.clock.now()) {
             self.dispatch_packet(&packet, parked_for);
         }
     }
--- a/src/fleet/side_packets.rs
+++ b/src/fleet/side_packets.rs
@@ -160,13 +160,13 @@
     /// Admits waiting openings to free slots, and refuses those that can't be
     /// served any more.
     pub(super) fn admit_waiting(&mut self, now: ClockMillis) {
-        while let Some(mut wait_end) = self.flows.next_waiting(now) {
-            histogram!("cyclamen_side_wait_ms").record(wait_end.waited.millis_float());
+        while let Some(mut dequeued) = self.flows.dequeue_opening(now) {
+            histogram!("cyclamen_side_wait_ms").record(dequeued.waited.millis_float());
             if self.log_limiter.allows(FleetEvent::WaitEnded, now) {
                 let (busy, waiting) = (self.flows.busy(), self.flows.waiting());
-                log_event!(info, FleetEvent::WaitEnded, flow = %wait_end.flow, waited = %wait_end.waited, action = %wait_end.step.action, busy, waiting);
+                log_event!(info, FleetEvent::WaitEnded, flow = %dequeued.flow, waited = %dequeued.waited, action = %dequeued.step.action, busy, waiting);
             }
-            self.apply_step(wait_end.step, &mut wait_end.packet, wait_end.flow, now);
+            self.apply_step(dequeued.step, &mut dequeued.packet, dequeued.flow, now);
         }
     }
 
--- a/src/fleet/side_target.rs
+++ b/src/fleet/side_target.rs
@@ -179,7 +179,7 @@
 
     /// Clears the suspicion of a target that has announced itself.
     pub(super) fn note_target_heard(&mut self, now: ClockMillis) {
-        if self.flows.hear_target(now) {
+        if self.flows.record_announcement(now) {
             log_event!(info, FleetEvent::TargetHeard, target = %self.settings.target);
             self.announce_change(now);
         }
--- a/src/flow/agent_flows.rs
+++ b/src/flow/agent_flows.rs
@@ -138,7 +138,7 @@
     }
 
     /// Records an announcement of the target; returns whether it was suspected.
-    pub(crate) fn hear_target(&mut self, now: ClockMillis) -> bool {
+    pub(crate) fn record_announcement(&mut self, now: ClockMillis) -> bool {
         self.health.record_activity(now)
     }
 
--- a/src/flow/agent_openings.rs
+++ b/src/flow/agent_openings.rs
@@ -71,7 +71,7 @@
 
     /// Removes the next opening that need not wait any longer from the queue: it
     /// is refused if it can't be served in time, or delivered to a free slot.
-    pub(crate) fn next_waiting(&mut self, now: ClockMillis) -> Option<DequeuedOpening> {
+    pub(crate) fn dequeue_opening(&mut self, now: ClockMillis) -> Option<DequeuedOpening> {
         let accepts = matches!(
             self.lifecycle,
             TargetLifecycle::Unproved | TargetLifecycle::Serving
--- a/src/flow/balancer_flows.rs
+++ b/src/flow/balancer_flows.rs
@@ -113,7 +113,7 @@
 
     /// Removes and returns the parked packets, each with the time that it was
     /// parked.
-    pub(crate) fn take_parked(&mut self, now: ClockMillis) -> Vec<(SpanMillis, Vec<u8>)> {
+    pub(crate) fn drain_parked(&mut self, now: ClockMillis) -> Vec<(SpanMillis, Vec<u8>)> {
         self.parked.drain(now)
     }
 
--- a/src/flow/tests/balancer_startup.rs
+++ b/src/flow/tests/balancer_startup.rs
@@ -56,9 +56,9 @@
     );
     // One packet per flow, the oldest first.
     let ages = [295, 290].map(SpanMillis::new);
-    let parked = flows.take_parked(at(300));
+    let parked = flows.drain_parked(at(300));
     assert_eq!(parked, [(ages[0], vec![2]), (ages[1], vec![1])]);
-    assert_eq!(flows.take_parked(at(300)), []);
+    assert_eq!(flows.drain_parked(at(300)), []);
     let verdict = flows.handle_packet(&opening(1), &[1], at(300));
     assert!(matches!(verdict, FlowVerdict::Forward { .. }));
 }
@@ -67,7 +67,7 @@
 fn a_parked_packet_is_dropped_after_a_second() {
     let mut flows = started_balancer();
     flows.handle_packet(&opening(1), &[1], START);
-    assert_eq!(flows.take_parked(at(1_000)), []);
+    assert_eq!(flows.drain_parked(at(1_000)), []);
 }
 
 #[test]
@@ -99,5 +99,5 @@
     partial.complete = false;
     flows.set_targets(partial);
     assert_eq!(run_lookup(&mut flows).1, ReportStep::Nothing);
-    assert_eq!(flows.take_parked(START).len(), 1);
+    assert_eq!(flows.drain_parked(START).len(), 1);
 }
--- a/src/flow/tests/full_target.rs
+++ b/src/flow/tests/full_target.rs
@@ -87,10 +87,10 @@
 /// callers.
 fn admitted(flows: &mut AgentFlows, now: ClockMillis) -> Vec<u16> {
     let mut ports = Vec::new();
-    while let Some(end) = flows.next_waiting(now) {
-        let delivered = matches!(end.step.action, AgentAction::Deliver { .. });
-        assert!(delivered, "{end:?}");
-        ports.push(end.flow.caller.port());
+    while let Some(dequeued) = flows.dequeue_opening(now) {
+        let delivered = matches!(dequeued.step.action, AgentAction::Deliver { .. });
+        assert!(delivered, "{dequeued:?}");
+        ports.push(dequeued.flow.caller.port());
     }
     ports
 }
@@ -163,12 +163,12 @@
     for port in 10..15 {
         offer(&mut flows, port, 2, at(u64::from(1_800 + port)));
     }
-    assert_eq!(flows.next_waiting(at(1_820)), None);
+    assert_eq!(flows.dequeue_opening(at(1_820)), None);
     offer(&mut flows, 15, 2, at(1_820));
-    let end = flows.next_waiting(at(1_820)).expect("a refusal");
-    assert_eq!(end.flow, flow(10), "the opening that would go last");
-    assert!(matches!(end.step.action, AgentAction::Reset(_)));
-    assert_eq!(flows.next_waiting(at(1_820)), None);
+    let dequeued = flows.dequeue_opening(at(1_820)).expect("a refusal");
+    assert_eq!(dequeued.flow, flow(10), "the opening that would go last");
+    assert!(matches!(dequeued.step.action, AgentAction::Reset(_)));
+    assert_eq!(flows.dequeue_opening(at(1_820)), None);
     assert_eq!(flows.waiting(), 5);
 }
 
@@ -176,12 +176,12 @@
 fn an_opening_that_waited_too_long_is_refused() {
     let mut flows = full_agent();
     offer(&mut flows, 9, 2, START);
-    assert_eq!(flows.next_waiting(at(900)), None);
+    assert_eq!(flows.dequeue_opening(at(900)), None);
     assert!(flows.next_due().is_some_and(|due| due <= at(1_000)));
-    let end = flows.next_waiting(at(1_000)).expect("a refusal");
-    assert_eq!((end.flow, end.waited.millis()), (flow(9), 1_000));
-    assert!(matches!(end.step.action, AgentAction::Reset(_)));
-    let kind = end.step.report.map(|(_, report)| report.kind);
+    let dequeued = flows.dequeue_opening(at(1_000)).expect("a refusal");
+    assert_eq!((dequeued.flow, dequeued.waited.millis()), (flow(9), 1_000));
+    assert!(matches!(dequeued.step.action, AgentAction::Reset(_)));
+    let kind = dequeued.step.report.map(|(_, report)| report.kind);
     assert_eq!(kind, Some(ReportKind::Refused));
 }
 
@@ -196,9 +196,9 @@
     offer(&mut flows, 9, 2, START);
     flows.set_lifecycle(lifecycle, None, START);
     flows.handle_target_packet(&answer(flow(1)), at(10));
-    let end = flows.next_waiting(at(10)).expect("a refusal");
-    assert!(matches!(end.step.action, AgentAction::Reset(_)));
-    assert_eq!(flows.next_waiting(at(10)), None);
+    let dequeued = flows.dequeue_opening(at(10)).expect("a refusal");
+    assert!(matches!(dequeued.step.action, AgentAction::Reset(_)));
+    assert_eq!(flows.dequeue_opening(at(10)), None);
 }
 
 #[test]
--- a/src/flow/tests/opening_burst.rs
+++ b/src/flow/tests/opening_burst.rs
@@ -156,9 +156,9 @@
         let opened_at = self.opened_at[&flow];
         self.answered_after.insert(flow, now.millis() - opened_at);
         let mut delivered = Vec::new();
-        while let Some(end) = flows.next_waiting(now) {
-            match end.step.action {
-                AgentAction::Deliver { .. } => delivered.push(end.flow),
+        while let Some(dequeued) = flows.dequeue_opening(now) {
+            match dequeued.step.action {
+                AgentAction::Deliver { .. } => delivered.push(dequeued.flow),
                 // The caller would open another flow, which is not simulated.
                 AgentAction::Reset(_) => {}
                 other => panic!("neither delivered nor refused: {other:?}"),
