--- a/src/fleet/entry_maintenance.rs
+++ b/src/fleet/entry_maintenance.rs
@@ -79,7 +79,7 @@
         self.flows.sweep(now);
         self.update_ready();
         self.counters.publish();
-        publish_gauge("cyclamen_entry_flows", self.flows.remembered());
+        publish_gauge("cyclamen_entry_flows", self.flows.cached_owners());
         publish_gauge("cyclamen_entry_targets", self.view.len());
         publish_gauge("cyclamen_entry_suspects", self.flows.suspects());
         if let Some(at) = self.control_heard_at {
@@ -101,7 +101,7 @@
                 "leader": self.group.leader(),
                 "leaving": self.stopping,
                 "targets": self.view.records().collect::<Vec<_>>(),
-                "flows": self.flows.remembered(),
+                "flows": self.flows.cached_owners(),
                 "suspects": self.flows.suspects(),
                 "packets": self.counters,
             }),
--- a/src/fleet/entry_node.rs
+++ b/src/fleet/entry_node.rs
@@ -202,7 +202,7 @@
         log_event!(
             info,
             FleetEvent::EntryStopped,
-            flows = self.flows.remembered()
+            flows = self.flows.cached_owners()
         );
         Ok(())
     }
--- a/src/fleet/side_node.rs
+++ b/src/fleet/side_node.rs
@@ -156,7 +156,11 @@
                 () = wait_for_signal(&mut terminate) => break,
             }
         }
-        log_event!(info, FleetEvent::SideStopped, flows = self.flows.held());
+        log_event!(
+            info,
+            FleetEvent::SideStopped,
+            flows = self.flows.tracked_flows()
+        );
         Ok(())
     }
 
@@ -204,8 +208,8 @@
                 "suspect": self.flows.is_suspect(),
                 "silence_ms": self.flows.silence(now),
                 "members": self.group.members(),
-                "flows": self.flows.held(),
-                "busy": self.flows.busy(),
+                "flows": self.flows.tracked_flows(),
+                "busy": self.flows.in_flight(),
                 "waiting": self.flows.waiting(),
                 "packets": self.counters,
             }),
--- a/src/fleet/side_packets.rs
+++ b/src/fleet/side_packets.rs
@@ -137,8 +137,8 @@
             AgentAction::Wait => {
                 self.counters.waited += 1;
                 if self.log_limiter.allows(FleetEvent::FlowWaits, now) {
-                    let (busy, waiting) = (self.flows.busy(), self.flows.waiting());
-                    log_event!(info, FleetEvent::FlowWaits, %flow, busy, waiting);
+                    let (in_flight, waiting) = (self.flows.in_flight(), self.flows.waiting());
+                    log_event!(info, FleetEvent::FlowWaits, %flow, busy = in_flight, waiting);
                 }
             }
             AgentAction::Drop => {
@@ -163,8 +163,8 @@
         while let Some(mut dequeued) = self.flows.dequeue_opening(now) {
             histogram!("cyclamen_side_wait_ms").record(dequeued.waited.millis_float());
             if self.log_limiter.allows(FleetEvent::WaitEnded, now) {
-                let (busy, waiting) = (self.flows.busy(), self.flows.waiting());
-                log_event!(info, FleetEvent::WaitEnded, flow = %dequeued.flow, waited = %dequeued.waited, action = %dequeued.step.action, busy, waiting);
+                let (in_flight, waiting) = (self.flows.in_flight(), self.flows.waiting());
+                log_event!(info, FleetEvent::WaitEnded, flow = %dequeued.flow, waited = %dequeued.waited, action = %dequeued.step.action, busy = in_flight, waiting);
             }
             self.apply_step(dequeued.step, &mut dequeued.packet, dequeued.flow, now);
         }
--- a/src/fleet/side_target.rs
+++ b/src/fleet/side_target.rs
@@ -122,8 +122,8 @@
         }
         self.flows.sweep(now);
         self.counters.publish();
-        publish_gauge("cyclamen_side_flows", self.flows.held());
-        publish_gauge("cyclamen_side_busy", self.flows.busy());
+        publish_gauge("cyclamen_side_flows", self.flows.tracked_flows());
+        publish_gauge("cyclamen_side_busy", self.flows.in_flight());
         publish_gauge("cyclamen_side_waiting", self.flows.waiting());
         publish_gauge("cyclamen_side_suspect", self.flows.is_suspect().into());
     }
--- a/src/flow/agent_flows.rs
+++ b/src/flow/agent_flows.rs
@@ -123,8 +123,8 @@
     }
 
     /// Returns the number of requests in flight at the target.
-    pub(crate) fn busy(&self) -> usize {
-        self.load.busy()
+    pub(crate) fn in_flight(&self) -> usize {
+        self.load.in_flight()
     }
 
     /// Returns the number of openings queued for a free slot.
@@ -133,7 +133,7 @@
     }
 
     /// Returns the number of tracked flows.
-    pub(crate) fn held(&self) -> usize {
+    pub(crate) fn tracked_flows(&self) -> usize {
         self.tracked.len()
     }
 
--- a/src/flow/balancer_flows.rs
+++ b/src/flow/balancer_flows.rs
@@ -124,7 +124,7 @@
     }
 
     /// Returns the number of flows in the owner cache.
-    pub(crate) fn remembered(&self) -> usize {
+    pub(crate) fn cached_owners(&self) -> usize {
         self.owners.len()
     }
 
--- a/src/flow/target_load.rs
+++ b/src/flow/target_load.rs
@@ -88,7 +88,7 @@
     }
 
     /// Returns the number of requests in flight, with reservations.
-    pub(crate) fn busy(&self) -> usize {
+    pub(crate) fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
--- a/src/flow/tests/full_target.rs
+++ b/src/flow/tests/full_target.rs
@@ -206,7 +206,7 @@
     let mut flows = full_agent();
     flows.handle_target_packet(&answer(flow(1)), at(10));
     flows.handle_frame(header(2, &[]), &request(flow(1)), &[1], at(20));
-    assert_eq!(flows.busy(), usize::from(MAX_IN_FLIGHT) - 1);
+    assert_eq!(flows.in_flight(), usize::from(MAX_IN_FLIGHT) - 1);
 }
 
 #[test]
@@ -232,9 +232,9 @@
     let AgentAction::Deliver { tag } = step.action else {
         panic!("not delivered: {step:?}");
     };
-    assert_eq!(flows.busy(), usize::from(MAX_IN_FLIGHT) + 1);
+    assert_eq!(flows.in_flight(), usize::from(MAX_IN_FLIGHT) + 1);
     flows.handle_target_packet(&bounced(flow(7), PacketFlags::ACKNOWLEDGE, tag), START);
-    assert_eq!(flows.busy(), usize::from(MAX_IN_FLIGHT));
+    assert_eq!(flows.in_flight(), usize::from(MAX_IN_FLIGHT));
 }
 
 #[test]
