--- a/src/fleet/entry_node.rs
+++ b/src/fleet/entry_node.rs
@@ -291,7 +291,7 @@
 
     fn apply_reply(&mut self, reply: WatchReply) {
         let now = self.clock.now();
-        let could_end = self.flows.can_end_flows();
+        let could_reset = self.flows.can_reset_flows();
         let mut learned = false;
         self.control_lost = false;
         if reply.caught_up {
@@ -320,7 +320,7 @@
             self.flows.set_targets(self.view.known_targets());
         }
         self.update_ready();
-        if learned || self.flows.can_end_flows() != could_end {
+        if learned || self.flows.can_reset_flows() != could_reset {
             self.retry_parked();
         }
     }
--- a/src/fleet/entry_packets.rs
+++ b/src/fleet/entry_packets.rs
@@ -11,7 +11,7 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     event::log_event,
-    flow::{FlowPacket, FlowReport, FlowVerdict, HopHeader, RefusalCause, ReportStep},
+    flow::{FlowPacket, FlowReport, FlowVerdict, HopHeader, RefusalCause, ReportAction},
 };
 
 impl EntryNode {
@@ -146,9 +146,9 @@
             histogram!("cyclamen_entry_opening_ms").record(waited.millis_float());
         }
         match self.flows.handle_report(report, now) {
-            ReportStep::Nothing => {}
-            ReportStep::Forward { packet, to, header } => self.forward(&packet, to, header),
-            ReportStep::Reset(reset) => {
+            ReportAction::Nothing => {}
+            ReportAction::Forward { packet, to, header } => self.forward(&packet, to, header),
+            ReportAction::Reset(reset) => {
                 self.counters.ended += 1;
                 let answer = self.codec.encode_reset(&reset);
                 self.send_to_caller(*reset.flow.caller.ip(), &answer);
--- a/src/flow/balancer_flows.rs
+++ b/src/flow/balancer_flows.rs
@@ -2,7 +2,7 @@
 
 use super::{
     BalancerFlowInfo, FlowKey, FlowOwnerInfo, FlowPacket, FlowReport, FlowReset, FlowVerdict,
-    HopHeader, KnownTargets, RefusalCause, ReportKind, ReportStep,
+    HopHeader, KnownTargets, RefusalCause, ReportAction, ReportKind,
     hop_frame::MAX_CANDIDATES,
     owner_cache::OwnerCache,
     owner_lookup::{OwnerLookup, PendingLookups},
@@ -107,7 +107,7 @@
     }
 
     /// Returns whether a flow that no known target holds may be reset.
-    pub(crate) fn can_end_flows(&self) -> bool {
+    pub(crate) fn can_reset_flows(&self) -> bool {
         self.targets.complete && (self.current || !self.was_ever_current)
     }
 
@@ -273,7 +273,7 @@
     }
 
     /// Handles an agent's report on a flow; returns what to send in response.
-    pub(crate) fn handle_report(&mut self, report: &FlowReport, now: ClockMillis) -> ReportStep {
+    pub(crate) fn handle_report(&mut self, report: &FlowReport, now: ClockMillis) -> ReportAction {
         self.suspects.remove(&report.agent);
         self.unreported_openings = 0;
         self.openings.remove(report.flow);
@@ -284,12 +284,12 @@
                 self.parked.remove(report.flow);
                 self.owners
                     .confirm(report.flow, report.agent, report.incarnation, now);
-                ReportStep::Nothing
+                ReportAction::Nothing
             }
             ReportKind::Waiting => {
                 // Retransmissions of the opening go to the agent that queued it.
                 self.owners.assume(report.flow, report.agent, now);
-                ReportStep::Nothing
+                ReportAction::Nothing
             }
             ReportKind::NotHeld => {
                 self.owners.invalidate(report.flow, report.agent);
@@ -298,7 +298,7 @@
             ReportKind::Refused | ReportKind::Gone => {
                 self.lookups.remove(report.flow);
                 self.owners.remove(report.flow);
-                ReportStep::Nothing
+                ReportAction::Nothing
             }
         }
     }
--- a/src/flow/balancer_lookups.rs
+++ b/src/flow/balancer_lookups.rs
@@ -4,7 +4,7 @@
 use std::net::Ipv4Addr;
 
 use super::{
-    BalancerFlows, FlowReport, HopHeader, ReportStep, hop_frame::MAX_CANDIDATES,
+    BalancerFlows, FlowReport, HopHeader, ReportAction, hop_frame::MAX_CANDIDATES,
     owner_lookup::OwnerLookup,
 };
 use crate::{clock::ClockMillis, listener::ServiceTag};
@@ -60,21 +60,25 @@
     /// Starts the next round after the last agent of a round reported that it does
     /// not hold the flow. Once no target that may hold the flow has it, the flow is
     /// reset, or its packet parked while a target may be missing.
-    pub(super) fn continue_lookup(&mut self, report: &FlowReport, now: ClockMillis) -> ReportStep {
+    pub(super) fn continue_lookup(
+        &mut self,
+        report: &FlowReport,
+        now: ClockMillis,
+    ) -> ReportAction {
         let flow = report.flow;
         let Some(lookup) = self.lookups.take(flow, report.agent, report.lookup_id) else {
-            return ReportStep::Nothing;
+            return ReportAction::Nothing;
         };
         let Some(choice) = self.table.choose(flow.listener, flow.stable_hash(), now) else {
-            return ReportStep::Nothing;
+            return ReportAction::Nothing;
         };
         let (packet, reset) = (lookup.packet.clone(), lookup.reset);
         match self.send_lookup(lookup, &choice.owner_services, None, now) {
-            Some((to, header)) => ReportStep::Forward { packet, to, header },
-            None if self.can_end_flows() => ReportStep::Reset(reset),
+            Some((to, header)) => ReportAction::Forward { packet, to, header },
+            None if self.can_reset_flows() => ReportAction::Reset(reset),
             None => {
                 self.parked.park(flow, &packet, now);
-                ReportStep::Nothing
+                ReportAction::Nothing
             }
         }
     }
--- a/src/flow/flow_verdict.rs
+++ b/src/flow/flow_verdict.rs
@@ -35,7 +35,7 @@
 
 /// What a balancer sends in response to an agent's report.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum ReportStep {
+pub(crate) enum ReportAction {
     /// Nothing.
     Nothing,
     /// Send the packet to the next agents that may hold the flow.
--- a/src/flow/mod.rs
+++ b/src/flow/mod.rs
@@ -41,7 +41,7 @@
 pub(crate) use balancer_flows::BalancerFlows;
 pub(crate) use flow_info::{AgentFlowInfo, BalancerFlowInfo, FlowOwnerInfo};
 pub(crate) use flow_report::{FlowReport, ReportKind};
-pub(crate) use flow_verdict::{FlowVerdict, RefusalCause, ReportStep};
+pub(crate) use flow_verdict::{FlowVerdict, RefusalCause, ReportAction};
 pub(crate) use hop_frame::{HopFrame, HopHeader};
 pub(crate) use known_targets::{KnownTargets, ServiceTargets, TargetIncarnation};
 pub(crate) use request_id::request_id;
--- a/src/flow/tests/balancer_startup.rs
+++ b/src/flow/tests/balancer_startup.rs
@@ -14,7 +14,7 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     flow::{
-        BalancerFlows, FlowPacket, FlowVerdict, PacketFlags, RefusalCause, ReportStep,
+        BalancerFlows, FlowPacket, FlowVerdict, PacketFlags, RefusalCause, ReportAction,
         ServiceTargets,
     },
     listener::{ListenerTable, ServiceTag},
@@ -85,7 +85,7 @@
     asked.sort_unstable();
     // The routes may be older than the flow, so the targets of every service are asked.
     assert_eq!(asked, [agent(1), agent(2), agent(3)]);
-    assert!(matches!(end, ReportStep::Reset(_)));
+    assert!(matches!(end, ReportAction::Reset(_)));
 }
 
 #[test]
@@ -98,6 +98,6 @@
     let mut partial = known_targets(HashMap::from([(service(), targets(&[1], &[1]))]));
     partial.complete = false;
     flows.set_targets(partial);
-    assert_eq!(run_lookup(&mut flows).1, ReportStep::Nothing);
+    assert_eq!(run_lookup(&mut flows).1, ReportAction::Nothing);
     assert_eq!(flows.drain_parked(START).len(), 1);
 }
--- a/src/flow/tests/balancer_verdicts.rs
+++ b/src/flow/tests/balancer_verdicts.rs
@@ -5,7 +5,7 @@
     clock::{ClockMillis, SpanMillis},
     flow::{
         BalancerFlows, FlowReport, FlowVerdict, HopHeader, KnownTargets, PacketFlags, RankedTarget,
-        RefusalCause, ReportKind, ReportStep, ServiceTargets, TargetIncarnation, TargetRanking,
+        RefusalCause, ReportAction, ReportKind, ServiceTargets, TargetIncarnation, TargetRanking,
     },
     key::IncarnationId,
     listener::{
@@ -243,8 +243,8 @@
 }
 
 /// Runs a lookup of flow 1, which no target holds; returns the agents that were
-/// asked and the last step.
-pub(super) fn run_lookup(flows: &mut BalancerFlows) -> (Vec<Ipv4Addr>, ReportStep) {
+/// asked and the last action.
+pub(super) fn run_lookup(flows: &mut BalancerFlows) -> (Vec<Ipv4Addr>, ReportAction) {
     let (mut to, mut header) = start_lookup(flows);
     let mut asked = Vec::new();
     loop {
@@ -252,7 +252,7 @@
         asked.extend(header.candidates());
         let report = not_held(last_candidate(to, &header), header.lookup_id);
         match flows.handle_report(&report, START) {
-            ReportStep::Forward {
+            ReportAction::Forward {
                 to: next,
                 header: after,
                 ..
@@ -271,7 +271,7 @@
         targets(&agents, &agents),
     )])));
     let (mut asked, end) = run_lookup(&mut flows);
-    assert!(matches!(end, ReportStep::Reset(reset) if reset.flow == flow(1)));
+    assert!(matches!(end, ReportAction::Reset(reset) if reset.flow == flow(1)));
     assert_eq!(asked.len(), 42);
     asked.sort_unstable();
     asked.dedup();
@@ -284,10 +284,10 @@
     let mut partial = known_targets(HashMap::from([(service(), targets(&[1, 2], &[1, 2]))]));
     partial.complete = false;
     flows.set_targets(partial);
-    assert_eq!(run_lookup(&mut flows).1, ReportStep::Nothing);
+    assert_eq!(run_lookup(&mut flows).1, ReportAction::Nothing);
     let mut flows = balancer();
     flows.set_current(false);
-    assert_eq!(run_lookup(&mut flows).1, ReportStep::Nothing);
+    assert_eq!(run_lookup(&mut flows).1, ReportAction::Nothing);
 }
 
 #[test]
@@ -300,8 +300,8 @@
         targets(&agents, &agents),
     )])));
     let report = not_held(last_candidate(to, &header), header.lookup_id);
-    let step = flows.handle_report(&report, START);
-    assert!(matches!(step, ReportStep::Forward { to, .. } if to == agent(6)));
+    let action = flows.handle_report(&report, START);
+    assert!(matches!(action, ReportAction::Forward { to, .. } if to == agent(6)));
 }
 
 /// Soak seed 2102: on a slow path, the last agent's report on an earlier packet
@@ -312,10 +312,10 @@
     let (to, earlier) = start_lookup(&mut flows);
     let (_, later) = start_lookup(&mut flows);
     let last = last_candidate(to, &earlier);
-    let step = flows.handle_report(&not_held(last, earlier.lookup_id), START);
-    assert_eq!(step, ReportStep::Nothing);
-    let step = flows.handle_report(&not_held(last, later.lookup_id), START);
-    assert!(matches!(step, ReportStep::Reset(_)));
+    let action = flows.handle_report(&not_held(last, earlier.lookup_id), START);
+    assert_eq!(action, ReportAction::Nothing);
+    let action = flows.handle_report(&not_held(last, later.lookup_id), START);
+    assert!(matches!(action, ReportAction::Reset(_)));
 }
 
 #[test]
@@ -330,8 +330,8 @@
 fn a_not_held_report_of_an_agent_that_is_not_the_last_one_is_ignored() {
     let mut flows = balancer();
     let (to, header) = start_lookup(&mut flows);
-    let step = flows.handle_report(&not_held(to, header.lookup_id), START);
-    assert_eq!(step, ReportStep::Nothing);
+    let action = flows.handle_report(&not_held(to, header.lookup_id), START);
+    assert_eq!(action, ReportAction::Nothing);
 }
 
 /// Returns a balancer to which agent 2 reported flow 1 as held, and which knows
@@ -374,7 +374,7 @@
     assert_eq!(asked, agent(2));
     assert_eq!(others.len(), 2);
     // If no target holds the flow, it is reset.
-    assert!(matches!(run_lookup(&mut flows).1, ReportStep::Reset(_)));
+    assert!(matches!(run_lookup(&mut flows).1, ReportAction::Reset(_)));
 }
 
 #[test]
