--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -5,12 +5,12 @@
 //! targets, so a balancer merges its directory into the targets it knows, and
 //! removes none, until the replica has heard from every running agent.
 
-mod directory_news;
+mod directory_update;
 mod target_directory;
 mod target_record;
 mod target_view;
 
-pub(crate) use directory_news::{DirectoryNews, DirectoryPlace};
+pub(crate) use directory_update::{DirectoryPosition, DirectoryUpdate};
 pub(crate) use target_directory::{ANNOUNCE_MILLIS, TargetDirectory};
 pub(crate) use target_record::{TargetRecord, TargetStanding};
 pub(crate) use target_view::TargetView;
--- a/src/directory/target_directory.rs
+++ b/src/directory/target_directory.rs
@@ -3,7 +3,7 @@
     net::Ipv4Addr,
 };
 
-use super::{DirectoryNews, DirectoryPlace, TargetRecord, TargetStanding};
+use super::{DirectoryPosition, DirectoryUpdate, TargetRecord, TargetStanding};
 use crate::clock::{ClockMillis, SpanMillis};
 
 /// How often an agent announces its target.
@@ -82,8 +82,8 @@
     }
 
     /// Returns the position of a watcher that is up to date.
-    pub(crate) fn place(&self) -> DirectoryPlace {
-        DirectoryPlace {
+    pub(crate) fn position(&self) -> DirectoryPosition {
+        DirectoryPosition {
             run: self.run,
             revision: self.revision,
         }
@@ -141,19 +141,23 @@
         self.revision != revision_before
     }
 
-    /// Returns the changes since `place`, or the full directory if `place` is of
+    /// Returns the changes since `position`, or the full directory if `position` is of
     /// another run or before the last removal.
-    pub(crate) fn news(&self, place: DirectoryPlace, now: ClockMillis) -> DirectoryNews {
-        let is_delta = place.run == self.run && place.revision >= self.last_removal;
-        let seen = if is_delta { place.revision } else { 0 };
+    pub(crate) fn changes_since(
+        &self,
+        position: DirectoryPosition,
+        now: ClockMillis,
+    ) -> DirectoryUpdate {
+        let is_delta = position.run == self.run && position.revision >= self.last_removal;
+        let seen = if is_delta { position.revision } else { 0 };
         let records = self
             .entries
             .values()
             .filter(|entry| !is_delta || entry.revision > seen)
             .map(|entry| entry.record)
             .collect();
-        DirectoryNews {
-            place: self.place(),
+        DirectoryUpdate {
+            position: self.position(),
             full: !is_delta,
             settled: self.is_settled(now),
             records,
--- a/src/directory/target_view.rs
+++ b/src/directory/target_view.rs
@@ -3,7 +3,7 @@
     net::Ipv4Addr,
 };
 
-use super::{DirectoryNews, TargetRecord, TargetStanding};
+use super::{DirectoryUpdate, TargetRecord, TargetStanding};
 use crate::{
     flow::{KnownTargets, RankedTarget, ServiceTargets, TargetIncarnation, TargetRanking},
     listener::ServiceTag,
@@ -34,15 +34,15 @@
     /// Applies an update of a directory; returns the records that changed.
     ///
     /// Records that an unsettled directory does not list are kept.
-    pub(crate) fn take_news(&mut self, news: DirectoryNews) -> Vec<TargetRecord> {
+    pub(crate) fn apply_update(&mut self, update: DirectoryUpdate) -> Vec<TargetRecord> {
         let mut changed = Vec::new();
-        self.complete = news.settled;
-        if news.full && news.settled {
+        self.complete = update.settled;
+        if update.full && update.settled {
             let listed =
-                |agent: &Ipv4Addr| news.records.iter().any(|record| record.agent == *agent);
+                |agent: &Ipv4Addr| update.records.iter().any(|record| record.agent == *agent);
             self.records.retain(|agent, _| listed(agent));
         }
-        for record in news.records {
+        for record in update.records {
             let old = self.records.insert(record.agent, record);
             if !old.is_some_and(|old| old.has_same_state(&record)) {
                 changed.push(record);
--- a/src/directory/tests.rs
+++ b/src/directory/tests.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, net::Ipv4Addr};
 
-use super::{DirectoryPlace, TargetDirectory, TargetRecord, TargetStanding, TargetView};
+use super::{DirectoryPosition, TargetDirectory, TargetRecord, TargetStanding, TargetView};
 use crate::{
     clock::{ClockMillis, SpanMillis},
     key::IncarnationId,
@@ -44,8 +44,8 @@
     let mut directory = directory(1, START);
     assert!(directory.announce(record(0, 5, TargetStanding::Leaving), START));
     assert!(!directory.announce(record(0, 4, TargetStanding::Serving), START));
-    let news = directory.news(DirectoryPlace::default(), SETTLED);
-    assert_eq!(news.records, [record(0, 5, TargetStanding::Leaving)]);
+    let update = directory.changes_since(DirectoryPosition::default(), SETTLED);
+    assert_eq!(update.records, [record(0, 5, TargetStanding::Leaving)]);
 }
 
 #[test]
@@ -59,12 +59,17 @@
 #[test]
 fn a_watcher_gets_only_changed_records() {
     let mut directory = directory(3, START);
-    let place = directory.place();
-    assert!(directory.news(place, SETTLED).records.is_empty());
+    let position = directory.position();
+    assert!(
+        directory
+            .changes_since(position, SETTLED)
+            .records
+            .is_empty()
+    );
     directory.announce(record(1, 2, TargetStanding::Leaving), START);
-    let news = directory.news(place, SETTLED);
-    assert!(!news.full);
-    assert_eq!(news.records, [record(1, 2, TargetStanding::Leaving)]);
+    let update = directory.changes_since(position, SETTLED);
+    assert!(!update.full);
+    assert_eq!(update.records, [record(1, 2, TargetStanding::Leaving)]);
 }
 
 #[test]
@@ -76,7 +81,7 @@
     }
     assert!(directory.expire(later));
     let mut view = TargetView::default();
-    view.take_news(directory.news(DirectoryPlace::default(), SETTLED));
+    view.apply_update(directory.changes_since(DirectoryPosition::default(), SETTLED));
     assert_eq!(accepting_targets(&view), 4);
 }
 
@@ -89,11 +94,11 @@
 #[test]
 fn a_balancer_keeps_targets_that_an_unsettled_directory_does_not_list() {
     let mut view = TargetView::default();
-    view.take_news(directory(4, START).news(DirectoryPlace::default(), SETTLED));
+    view.apply_update(directory(4, START).changes_since(DirectoryPosition::default(), SETTLED));
     let restarted = directory(1, START);
-    view.take_news(restarted.news(DirectoryPlace::default(), START));
+    view.apply_update(restarted.changes_since(DirectoryPosition::default(), START));
     assert_eq!(accepting_targets(&view), 4);
-    view.take_news(restarted.news(DirectoryPlace::default(), SETTLED));
+    view.apply_update(restarted.changes_since(DirectoryPosition::default(), SETTLED));
     assert_eq!(accepting_targets(&view), 1);
 }
 
--- a/src/fleet/entry_node.rs
+++ b/src/fleet/entry_node.rs
@@ -313,7 +313,7 @@
             learned = true;
         }
         if let Some(targets) = reply.targets {
-            for record in self.view.take_news(targets) {
+            for record in self.view.apply_update(targets) {
                 learned = true;
                 log_event!(info, FleetEvent::TargetChanged, agent = %record.agent, service = %record.service, standing = ?record.standing);
             }
--- a/src/fleet/watch_client.rs
+++ b/src/fleet/watch_client.rs
@@ -16,7 +16,7 @@
     watch_frame::{WatchPoll, WatchReply, read_frame, write_frame},
     watch_server::LONG_POLL_MILLIS,
 };
-use crate::{clock::SpanMillis, directory::DirectoryPlace};
+use crate::{clock::SpanMillis, directory::DirectoryPosition};
 
 /// How long connecting may take; a VM without power never answers.
 const CONNECT_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(250);
@@ -53,7 +53,7 @@
     group: GroupView,
     updates: mpsc::Sender<WatchUpdate>,
     routes_version: u64,
-    position: DirectoryPlace,
+    position: DirectoryPosition,
 }
 
 impl WatchClient {
@@ -70,7 +70,7 @@
             group,
             updates,
             routes_version: 0,
-            position: DirectoryPlace::default(),
+            position: DirectoryPosition::default(),
         }
     }
 
@@ -145,13 +145,13 @@
             }
             if let Some(targets) = &reply.targets {
                 self.position = if targets.settled {
-                    targets.place
+                    targets.position
                 } else {
-                    DirectoryPlace::default()
+                    DirectoryPosition::default()
                 };
             }
             let caught_up = reply.caught_up;
-            let unsettled = self.position == DirectoryPlace::default();
+            let unsettled = self.position == DirectoryPosition::default();
             if self
                 .updates
                 .send(WatchUpdate::Reply(Box::new(reply)))
--- a/src/fleet/watch_frame.rs
+++ b/src/fleet/watch_frame.rs
@@ -8,7 +8,7 @@
 };
 
 use crate::{
-    directory::{DirectoryNews, DirectoryPlace},
+    directory::{DirectoryPosition, DirectoryUpdate},
     listener::ListenerManifest,
 };
 
@@ -25,7 +25,7 @@
     pub(super) routes_version: u64,
     /// How far the watcher has followed this replica's directory.
     #[serde(rename = "place")]
-    pub(super) position: DirectoryPlace,
+    pub(super) position: DirectoryPosition,
 }
 
 /// Everything newer than what the watcher has.
@@ -34,7 +34,7 @@
     /// The routes, if newer.
     pub(super) routes: Option<ListenerManifest>,
     /// The changes of the directory, if any.
-    pub(super) targets: Option<DirectoryNews>,
+    pub(super) targets: Option<DirectoryUpdate>,
     /// The members of the control group.
     pub(super) members: Vec<Ipv4Addr>,
     /// The leader, if one is known.
--- a/src/fleet/watch_server.rs
+++ b/src/fleet/watch_server.rs
@@ -172,7 +172,10 @@
 
     fn has_changes(&self, poll: &WatchPoll) -> bool {
         self.replica.store().revision().count() > poll.routes_version
-            || self.directory.with_directory(|directory| directory.place()) != poll.position
+            || self
+                .directory
+                .with_directory(|directory| directory.position())
+                != poll.position
     }
 
     fn reply(&self, poll: &WatchPoll) -> WatchReply {
@@ -182,7 +185,8 @@
             .filter(|stored| stored.manifest.version > poll.routes_version)
             .map(|stored| stored.manifest.clone());
         let targets = self.directory.with_directory(|directory| {
-            (directory.place() != poll.position).then(|| directory.news(poll.position, now))
+            (directory.position() != poll.position)
+                .then(|| directory.changes_since(poll.position, now))
         });
         let leader = self.replica.leader();
         WatchReply {
