--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -12,7 +12,7 @@
 
 pub(crate) use directory_update::{DirectoryPosition, DirectoryUpdate};
 pub(crate) use target_directory::{ANNOUNCE_MILLIS, TargetDirectory};
-pub(crate) use target_record::{TargetRecord, TargetStanding};
+pub(crate) use target_record::{TargetRecord, TargetStatus};
 pub(crate) use target_view::TargetView;
 
 #[cfg(test)]
--- a/src/directory/target_directory.rs
+++ b/src/directory/target_directory.rs
@@ -3,7 +3,7 @@
     net::Ipv4Addr,
 };
 
-use super::{DirectoryPosition, DirectoryUpdate, TargetRecord, TargetStanding};
+use super::{DirectoryPosition, DirectoryUpdate, TargetRecord, TargetStatus};
 use crate::clock::{ClockMillis, SpanMillis};
 
 /// How often an agent announces its target.
@@ -126,7 +126,7 @@
         let mass_silence = live >= MASS_SILENCE_MIN_TARGETS && silent.len() * 2 > live;
         if !mass_silence {
             for mut record in silent {
-                record.standing = TargetStanding::Silent;
+                record.status = TargetStatus::Silent;
                 let last_heard_at = self.entries[&record.agent].last_heard_at;
                 self.set(record, last_heard_at);
             }
@@ -177,11 +177,11 @@
 
 /// Returns the time since the last announcement after which a record is dropped.
 fn retention(entry: &DirectoryEntry) -> SpanMillis {
-    match entry.record.standing {
-        TargetStanding::Ended => ENDED_RETENTION_MILLIS,
-        TargetStanding::Silent => SILENT_RETENTION_MILLIS,
+    match entry.record.status {
+        TargetStatus::Ended => ENDED_RETENTION_MILLIS,
+        TargetStatus::Silent => SILENT_RETENTION_MILLIS,
         // Never dropped before `expire` marks them as silent.
-        TargetStanding::Warming | TargetStanding::Serving | TargetStanding::Leaving => {
+        TargetStatus::Warming | TargetStatus::Serving | TargetStatus::Leaving => {
             SpanMillis::new(u64::MAX)
         }
     }
@@ -189,7 +189,7 @@
 
 fn is_live(entry: &DirectoryEntry) -> bool {
     !matches!(
-        entry.record.standing,
-        TargetStanding::Silent | TargetStanding::Ended
+        entry.record.status,
+        TargetStatus::Silent | TargetStatus::Ended
     )
 }
--- a/src/directory/target_record.rs
+++ b/src/directory/target_record.rs
@@ -6,7 +6,7 @@
 
 /// Whether a target accepts new flows, as announced by its agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum TargetStanding {
+pub(crate) enum TargetStatus {
     /// It accepts new flows but is still slow after its start.
     Warming,
     /// It accepts new flows.
@@ -33,13 +33,14 @@
     /// The incarnation of the target; `None` before it announces itself.
     pub(crate) target: Option<IncarnationId>,
     /// Whether the target accepts new flows.
-    pub(crate) standing: TargetStanding,
+    #[serde(rename = "standing")]
+    pub(crate) status: TargetStatus,
 }
 
 impl TargetRecord {
     /// Returns whether another record of the same agent differs only in its run or
     /// sequence number.
     pub(crate) fn has_same_state(&self, other: &Self) -> bool {
-        (self.service, self.target, self.standing) == (other.service, other.target, other.standing)
+        (self.service, self.target, self.status) == (other.service, other.target, other.status)
     }
 }
--- a/src/directory/target_view.rs
+++ b/src/directory/target_view.rs
@@ -3,7 +3,7 @@
     net::Ipv4Addr,
 };
 
-use super::{DirectoryUpdate, TargetRecord, TargetStanding};
+use super::{DirectoryUpdate, TargetRecord, TargetStatus};
 use crate::{
     flow::{KnownTargets, RankedTarget, ServiceTargets, TargetIncarnation, TargetRanking},
     listener::ServiceTag,
@@ -65,17 +65,17 @@
         let mut accepting: HashMap<ServiceTag, Vec<RankedTarget>> = HashMap::new();
         let mut possible_owners: HashMap<ServiceTag, Vec<RankedTarget>> = HashMap::new();
         for record in self.records.values() {
-            let weight = match record.standing {
-                TargetStanding::Warming => Some(WARMING_WEIGHT),
-                TargetStanding::Serving => Some(1.0),
-                TargetStanding::Leaving | TargetStanding::Silent | TargetStanding::Ended => None,
+            let weight = match record.status {
+                TargetStatus::Warming => Some(WARMING_WEIGHT),
+                TargetStatus::Serving => Some(1.0),
+                TargetStatus::Leaving | TargetStatus::Silent | TargetStatus::Ended => None,
             };
             let agent = record.agent;
             if let Some(weight) = weight {
                 let ranked = RankedTarget { agent, weight };
                 accepting.entry(record.service).or_default().push(ranked);
             }
-            if record.standing != TargetStanding::Ended {
+            if record.status != TargetStatus::Ended {
                 let ranked = RankedTarget { agent, weight: 1.0 };
                 possible_owners
                     .entry(record.service)
@@ -97,7 +97,7 @@
 fn incarnation_of(record: &TargetRecord) -> (Ipv4Addr, TargetIncarnation) {
     let incarnation = TargetIncarnation {
         id: record.target,
-        ended: record.standing == TargetStanding::Ended,
+        ended: record.status == TargetStatus::Ended,
     };
     (record.agent, incarnation)
 }
--- a/src/directory/tests.rs
+++ b/src/directory/tests.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, net::Ipv4Addr};
 
-use super::{DirectoryPosition, TargetDirectory, TargetRecord, TargetStanding, TargetView};
+use super::{DirectoryPosition, TargetDirectory, TargetRecord, TargetStatus, TargetView};
 use crate::{
     clock::{ClockMillis, SpanMillis},
     key::IncarnationId,
@@ -12,21 +12,21 @@
 const START: ClockMillis = ClockMillis::new(1_000);
 const SETTLED: ClockMillis = ClockMillis::new(10_000);
 
-fn record(number: u8, sequence: u64, standing: TargetStanding) -> TargetRecord {
+fn record(number: u8, sequence: u64, status: TargetStatus) -> TargetRecord {
     TargetRecord {
         agent: Ipv4Addr::new(10, 0, 1, number),
         service: ServiceTag::of("tavole"),
         agent_run: 1,
         sequence,
         target: Some(IncarnationId::new(u64::from(number))),
-        standing,
+        status,
     }
 }
 
 fn directory(targets: u8, now: ClockMillis) -> TargetDirectory {
     let mut directory = TargetDirectory::new(7, START);
     for number in 0..targets {
-        directory.announce(record(number, 1, TargetStanding::Serving), now);
+        directory.announce(record(number, 1, TargetStatus::Serving), now);
     }
     directory
 }
@@ -42,16 +42,16 @@
 #[test]
 fn a_late_announcement_changes_nothing() {
     let mut directory = directory(1, START);
-    assert!(directory.announce(record(0, 5, TargetStanding::Leaving), START));
-    assert!(!directory.announce(record(0, 4, TargetStanding::Serving), START));
+    assert!(directory.announce(record(0, 5, TargetStatus::Leaving), START));
+    assert!(!directory.announce(record(0, 4, TargetStatus::Serving), START));
     let update = directory.changes_since(DirectoryPosition::default(), SETTLED);
-    assert_eq!(update.records, [record(0, 5, TargetStanding::Leaving)]);
+    assert_eq!(update.records, [record(0, 5, TargetStatus::Leaving)]);
 }
 
 #[test]
 fn a_restarted_agent_starts_a_new_sequence() {
     let mut directory = directory(1, START);
-    let mut restarted = record(0, 1, TargetStanding::Leaving);
+    let mut restarted = record(0, 1, TargetStatus::Leaving);
     restarted.agent_run = 2;
     assert!(directory.announce(restarted, START));
 }
@@ -66,10 +66,10 @@
             .records
             .is_empty()
     );
-    directory.announce(record(1, 2, TargetStanding::Leaving), START);
+    directory.announce(record(1, 2, TargetStatus::Leaving), START);
     let update = directory.changes_since(position, SETTLED);
     assert!(!update.full);
-    assert_eq!(update.records, [record(1, 2, TargetStanding::Leaving)]);
+    assert_eq!(update.records, [record(1, 2, TargetStatus::Leaving)]);
 }
 
 #[test]
@@ -77,7 +77,7 @@
     let mut directory = directory(5, START);
     let later = START.after(SpanMillis::new(3_000));
     for number in 0..4 {
-        directory.announce(record(number, 2, TargetStanding::Serving), later);
+        directory.announce(record(number, 2, TargetStatus::Serving), later);
     }
     assert!(directory.expire(later));
     let mut view = TargetView::default();
@@ -111,7 +111,7 @@
     restarted.await_agents(agents);
     for number in 0..3 {
         assert!(!restarted.is_settled(START));
-        restarted.announce(record(number, 1, TargetStanding::Serving), START);
+        restarted.announce(record(number, 1, TargetStatus::Serving), START);
     }
     assert!(restarted.is_settled(START));
     // A directory that does not know them waits for agents that may still announce.
--- a/src/fleet/entry_node.rs
+++ b/src/fleet/entry_node.rs
@@ -315,7 +315,7 @@
         if let Some(targets) = reply.targets {
             for record in self.view.apply_update(targets) {
                 learned = true;
-                log_event!(info, FleetEvent::TargetChanged, agent = %record.agent, service = %record.service, standing = ?record.standing);
+                log_event!(info, FleetEvent::TargetChanged, agent = %record.agent, service = %record.service, standing = ?record.status);
             }
             self.flows.set_targets(self.view.known_targets());
         }
--- a/src/fleet/side_node.rs
+++ b/src/fleet/side_node.rs
@@ -22,7 +22,7 @@
 };
 use crate::{
     clock::{ClockMillis, ProcessClock, SpanMillis},
-    directory::TargetStanding,
+    directory::TargetStatus,
     event::log_event,
     flow::{AgentFlows, PacketCodec},
     key::IncarnationId,
@@ -64,7 +64,7 @@
     pub(super) tracker: TargetTracker,
     pub(super) agent_run: u64,
     pub(super) sequence: u64,
-    pub(super) announced: Option<(TargetStanding, Option<IncarnationId>)>,
+    pub(super) announced: Option<(TargetStatus, Option<IncarnationId>)>,
     pub(super) repeats_left: u32,
     pub(super) announce_at: ClockMillis,
     pub(super) probe_at: ClockMillis,
@@ -204,7 +204,7 @@
                 "service_tag": self.service,
                 "target": self.settings.target,
                 "start": self.tracker.incarnation(),
-                "standing": self.announced.map(|(standing, _)| standing),
+                "standing": self.announced.map(|(status, _)| status),
                 "suspect": self.flows.is_suspect(),
                 "silence_ms": self.flows.silence(now),
                 "members": self.group.members(),
--- a/src/fleet/side_target.rs
+++ b/src/fleet/side_target.rs
@@ -17,14 +17,14 @@
 };
 use crate::{
     clock::ClockMillis,
-    directory::{ANNOUNCE_MILLIS, TargetRecord, TargetStanding},
+    directory::{ANNOUNCE_MILLIS, TargetRecord, TargetStatus},
     event::log_event,
 };
 
 impl SideNode {
     /// Updates whether the target accepts flows, resets the flows that are gone,
-    /// and returns the standing to announce.
-    pub(super) fn refresh_standing(&mut self, now: ClockMillis) -> TargetStanding {
+    /// and returns the status to announce.
+    pub(super) fn refresh_status(&mut self, now: ClockMillis) -> TargetStatus {
         let lifecycle = self.tracker.lifecycle();
         let incarnation = self.tracker.incarnation();
         let gone_before = self.tracker.stale_flows_before(now);
@@ -45,7 +45,7 @@
         if (suspect || silent) && now >= self.probe_at {
             self.probe_target(now);
         }
-        self.tracker.standing(lifecycle, suspect || silent, now)
+        self.tracker.status(lifecycle, suspect || silent, now)
     }
 
     /// Probes whether anything listens at the target's address; on the same VM a
@@ -80,10 +80,10 @@
         self.announce_change(now);
     }
 
-    /// Announces the target if its standing or incarnation has changed.
+    /// Announces the target if its status or incarnation has changed.
     pub(super) fn announce_change(&mut self, now: ClockMillis) {
-        let standing = self.refresh_standing(now);
-        if self.announced != Some((standing, self.tracker.incarnation())) {
+        let status = self.refresh_status(now);
+        if self.announced != Some((status, self.tracker.incarnation())) {
             self.announce(now);
         }
         self.admit_waiting(now);
@@ -91,12 +91,12 @@
 
     /// Announces the target to the control group, and drops idle flows.
     pub(super) fn announce(&mut self, now: ClockMillis) {
-        let standing = self.refresh_standing(now);
-        let announced = Some((standing, self.tracker.incarnation()));
+        let status = self.refresh_status(now);
+        let announced = Some((status, self.tracker.incarnation()));
         if self.announced != announced {
             self.announced = announced;
             self.repeats_left = CHANGE_REPEATS;
-            log_event!(info, FleetEvent::TargetChanged, agent = %self.settings.fleet.address, service = %self.service, ?standing);
+            log_event!(info, FleetEvent::TargetChanged, agent = %self.settings.fleet.address, service = %self.service, standing = ?status);
         }
         let pause = if self.repeats_left > 0 {
             self.repeats_left -= 1;
@@ -114,7 +114,7 @@
             agent_run: self.agent_run,
             sequence: self.sequence,
             target: self.tracker.incarnation(),
-            standing,
+            status,
         };
         for contact in self.contacts(now) {
             self.fleet_socket
--- a/src/fleet/target_tracker.rs
+++ b/src/fleet/target_tracker.rs
@@ -3,7 +3,7 @@
 use super::{TargetNotice, TargetState};
 use crate::{
     clock::{ClockMillis, SpanMillis},
-    directory::TargetStanding,
+    directory::TargetStatus,
     flow::TargetLifecycle,
     key::IncarnationId,
 };
@@ -152,24 +152,22 @@
         }
     }
 
-    /// Returns the standing to announce for a target in this state; `suspect`
+    /// Returns the status to announce for a target in this state; `suspect`
     /// tells whether it is silent or leaves openings unanswered.
-    pub(crate) fn standing(
+    pub(crate) fn status(
         &self,
         lifecycle: TargetLifecycle,
         suspect: bool,
         now: ClockMillis,
-    ) -> TargetStanding {
+    ) -> TargetStatus {
         match lifecycle {
-            TargetLifecycle::Ended | TargetLifecycle::Lost => TargetStanding::Ended,
-            TargetLifecycle::Leaving => TargetStanding::Leaving,
-            TargetLifecycle::Unproved | TargetLifecycle::Serving if suspect => {
-                TargetStanding::Silent
-            }
+            TargetLifecycle::Ended | TargetLifecycle::Lost => TargetStatus::Ended,
+            TargetLifecycle::Leaving => TargetStatus::Leaving,
+            TargetLifecycle::Unproved | TargetLifecycle::Serving if suspect => TargetStatus::Silent,
             TargetLifecycle::Unproved | TargetLifecycle::Serving if now < self.warm_up_until => {
-                TargetStanding::Warming
+                TargetStatus::Warming
             }
-            TargetLifecycle::Unproved | TargetLifecycle::Serving => TargetStanding::Serving,
+            TargetLifecycle::Unproved | TargetLifecycle::Serving => TargetStatus::Serving,
         }
     }
 }
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -9,7 +9,7 @@
 };
 use crate::{
     clock::{ClockMillis, SpanMillis},
-    directory::TargetStanding,
+    directory::TargetStatus,
     flow::TargetLifecycle,
 };
 
@@ -95,8 +95,8 @@
 #[test]
 fn a_target_that_leaves_openings_unanswered_is_announced_as_silent() {
     let tracker = tracker();
-    let standing = tracker.standing(TargetLifecycle::Serving, true, START);
-    assert_eq!(standing, TargetStanding::Silent);
+    let status = tracker.status(TargetLifecycle::Serving, true, START);
+    assert_eq!(status, TargetStatus::Silent);
 }
 
 #[test]
@@ -105,11 +105,11 @@
     let mut cold = notice("i-2", 60, 1, TargetState::Ready);
     cold.warm_up_left = SpanMillis::new(2_000);
     tracker.apply_notice(cold, START);
-    let standing = |at| tracker.standing(TargetLifecycle::Serving, false, at);
-    assert_eq!(standing(START), TargetStanding::Warming);
+    let status = |at| tracker.status(TargetLifecycle::Serving, false, at);
+    assert_eq!(status(START), TargetStatus::Warming);
     assert_eq!(
-        standing(START.after(SpanMillis::new(2_000))),
-        TargetStanding::Serving
+        status(START.after(SpanMillis::new(2_000))),
+        TargetStatus::Serving
     );
 }
 
