--- a/src/directory/target_record.rs
+++ b/src/directory/target_record.rs
@@ -31,7 +31,8 @@
     /// The number of the announcement within this run, to detect late ones.
     pub(crate) sequence: u64,
     /// The incarnation of the target; `None` before it announces itself.
-    pub(crate) target: Option<IncarnationId>,
+    #[serde(rename = "target")]
+    pub(crate) incarnation: Option<IncarnationId>,
     /// Whether the target accepts new flows.
     #[serde(rename = "standing")]
     pub(crate) status: TargetStatus,
@@ -41,6 +42,7 @@
     /// Returns whether another record of the same agent differs only in its run or
     /// sequence number.
     pub(crate) fn has_same_state(&self, other: &Self) -> bool {
-        (self.service, self.target, self.status) == (other.service, other.target, other.status)
+        (self.service, self.incarnation, self.status)
+            == (other.service, other.incarnation, other.status)
     }
 }
--- a/src/directory/target_view.rs
+++ b/src/directory/target_view.rs
@@ -96,7 +96,7 @@
 
 fn incarnation_of(record: &TargetRecord) -> (Ipv4Addr, TargetIncarnation) {
     let incarnation = TargetIncarnation {
-        id: record.target,
+        id: record.incarnation,
         ended: record.status == TargetStatus::Ended,
     };
     (record.agent, incarnation)
--- a/src/directory/tests.rs
+++ b/src/directory/tests.rs
@@ -18,7 +18,7 @@
         service: ServiceTag::of("tavole"),
         agent_run: 1,
         sequence,
-        target: Some(IncarnationId::new(u64::from(number))),
+        incarnation: Some(IncarnationId::new(u64::from(number))),
         status,
     }
 }
--- a/src/fleet/side_target.rs
+++ b/src/fleet/side_target.rs
@@ -113,7 +113,7 @@
             service: self.service,
             agent_run: self.agent_run,
             sequence: self.sequence,
-            target: self.tracker.incarnation(),
+            incarnation: self.tracker.incarnation(),
             status,
         };
         for contact in self.contacts(now) {
