--- a/src/directory/target_directory.rs
+++ b/src/directory/target_directory.rs
@@ -62,7 +62,7 @@
 
     /// Sets the agents that ran before this replica started; an empty set if they
     /// are unknown.
-    pub(crate) fn await_agents(&mut self, agents: BTreeSet<Ipv4Addr>) {
+    pub(crate) fn expect_agents(&mut self, agents: BTreeSet<Ipv4Addr>) {
         self.knows_previous_agents = !agents.is_empty();
         self.expected = agents;
         self.expected
--- a/src/directory/tests.rs
+++ b/src/directory/tests.rs
@@ -108,7 +108,7 @@
         .map(|number| Ipv4Addr::new(10, 0, 1, number))
         .collect();
     let mut restarted = TargetDirectory::new(8, START);
-    restarted.await_agents(agents);
+    restarted.expect_agents(agents);
     for number in 0..3 {
         assert!(!restarted.is_settled(START));
         restarted.announce(record(number, 1, TargetStatus::Serving), START);
--- a/src/fleet/entry_maintenance.rs
+++ b/src/fleet/entry_maintenance.rs
@@ -48,7 +48,7 @@
                 if let Some(known) = file.poll_loaded() {
                     self.restart_notifier.start(&known, now);
                     directory.update(|directory| {
-                        directory.await_agents(known.agents);
+                        directory.expect_agents(known.agents);
                         false
                     });
                 }
