--- a/src/fleet/entry_packets.rs
+++ b/src/fleet/entry_packets.rs
@@ -37,10 +37,10 @@
         let now = self.clock.now();
         let mut packet = match self.codec.decode(bytes) {
             Ok(packet) => packet,
-            Err(fault) => {
+            Err(error) => {
                 self.counters.undecodable += 1;
                 if self.log_limiter.allows(FleetEvent::DatagramRefused, now) {
-                    log_event!(warn, FleetEvent::DatagramRefused, %fault);
+                    log_event!(warn, FleetEvent::DatagramRefused, fault = %error);
                 }
                 return;
             }
--- a/src/flow/mod.rs
+++ b/src/flow/mod.rs
@@ -34,7 +34,7 @@
 
 pub use flow_key::FlowKey;
 pub use flow_packet::{FlowPacket, FlowReset, PacketFlags};
-pub use packet_codec::{PacketCodec, PacketFault};
+pub use packet_codec::{PacketCodec, PacketError};
 
 pub(crate) use agent_flows::AgentFlows;
 pub(crate) use agent_step::{AgentAction, AgentStep, DequeuedOpening, TargetLifecycle};
--- a/src/flow/packet_codec.rs
+++ b/src/flow/packet_codec.rs
@@ -6,7 +6,7 @@
 
 /// Why a datagram can't be decoded as a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum PacketFault {
+pub enum PacketError {
     /// The datagram is shorter than a header.
     #[error("a datagram of {bytes} bytes is shorter than a packet header")]
     Short {
@@ -30,7 +30,7 @@
     /// # Errors
     ///
     /// Fails when the bytes are not a valid packet.
-    fn decode(&self, bytes: &[u8]) -> Result<FlowPacket, PacketFault>;
+    fn decode(&self, bytes: &[u8]) -> Result<FlowPacket, PacketError>;
 
     /// Returns the data of a packet that was decoded successfully.
     fn data<'a>(&self, bytes: &'a [u8]) -> &'a [u8];
--- a/src/listener/listener_fault.rs
+++ b/src/listener/listener_error.rs
@@ -5,7 +5,7 @@
 
 /// Why a listener manifest is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
-pub enum ListenerFault {
+pub enum ListenerError {
     /// The document can't be parsed.
     #[error("the manifest cannot be read: {detail}")]
     Unreadable {
--- a/src/listener/listener_manifest.rs
+++ b/src/listener/listener_manifest.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{ListenerFault, RouteUrgency, ServiceTag};
+use super::{ListenerError, RouteUrgency, ServiceTag};
 use crate::clock::SpanMillis;
 
 /// The share of a route's new flows that a service gets.
@@ -45,17 +45,17 @@
     /// # Errors
     ///
     /// Fails with the first invalid route.
-    pub fn check(&self, names: &[String]) -> Result<(), ListenerFault> {
+    pub fn check(&self, names: &[String]) -> Result<(), ListenerError> {
         let mut seen = BTreeSet::new();
         for (route, name) in self.routes.iter().zip(names) {
             if !seen.insert(route.address) {
-                return Err(ListenerFault::AddressTaken {
+                return Err(ListenerError::AddressTaken {
                     route: name.clone(),
                     address: route.address,
                 });
             }
             if route.shares.iter().all(|share| share.weight == 0) {
-                return Err(ListenerFault::NoWeight {
+                return Err(ListenerError::NoWeight {
                     route: name.clone(),
                 });
             }
--- a/src/listener/mod.rs
+++ b/src/listener/mod.rs
@@ -4,14 +4,14 @@
 //! The manifest with the highest version is in force. One with a lower or equal
 //! version is acknowledged and changes nothing.
 
-mod listener_fault;
+mod listener_error;
 mod listener_manifest;
 mod listener_store;
 mod listener_table;
 mod route_urgency;
 mod service_tag;
 
-pub use listener_fault::ListenerFault;
+pub use listener_error::ListenerError;
 pub use listener_manifest::{ListenerManifest, ListenerRoute, ServiceShare};
 pub use route_urgency::RouteUrgency;
 pub use service_tag::ServiceTag;
--- a/src/listener/tests/mod.rs
+++ b/src/listener/tests/mod.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 
 use super::{
-    ListenerFault, ListenerManifest, ListenerRoute, ListenerStore, ListenerTable, RouteUrgency,
+    ListenerError, ListenerManifest, ListenerRoute, ListenerStore, ListenerTable, RouteUrgency,
     ServiceShare, ServiceTag, StoredManifest,
 };
 use crate::clock::{ClockMillis, SpanMillis};
@@ -125,16 +125,16 @@
 #[rstest]
 #[case::shared_address(
     vec![route(1, "tavole"), route(1, "raccolta")],
-    ListenerFault::AddressTaken { route: "r1".to_owned(), address: address(1) }
+    ListenerError::AddressTaken { route: "r1".to_owned(), address: address(1) }
 )]
 #[case::no_share(
     vec![ListenerRoute { address: address(1), shares: Vec::new(), urgency: RouteUrgency::default() }],
-    ListenerFault::NoWeight { route: "r0".to_owned() }
+    ListenerError::NoWeight { route: "r0".to_owned() }
 )]
 fn an_invalid_manifest_is_rejected(
     #[case] routes: Vec<ListenerRoute>,
-    #[case] fault: ListenerFault,
+    #[case] error: ListenerError,
 ) {
     let names: Vec<String> = (0..routes.len()).map(|index| format!("r{index}")).collect();
-    assert_eq!(manifest(1, routes).check(&names), Err(fault));
+    assert_eq!(manifest(1, routes).check(&names), Err(error));
 }
