--- a/src/cli/command/inspect_command.rs
+++ b/src/cli/command/inspect_command.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     cli::{CliError, OutputFormat, UsageError, parse_address},
-    fleet::{InspectQuestion, inspect_process},
+    fleet::{InspectRequest, inspect_process},
     flow::FlowKey,
     program::ExitStatus,
 };
@@ -49,18 +49,18 @@
         let address = self.address.as_deref();
         let address = address.ok_or(UsageError::Missing { name: "ADDR" })?;
         let address = parse_address("ADDR", address)?;
-        let question = self.question()?;
-        let reply = inspect_process(address, question)
+        let request = self.request()?;
+        let reply = inspect_process(address, request)
             .await
             .map_err(|cause| CliError::Inspect { address, cause })?;
         OutputFormat::from_flag(self.json).print(&InspectReport(reply));
         Ok(ExitStatus::Done)
     }
 
-    fn question(&self) -> Result<InspectQuestion, CliError> {
+    fn request(&self) -> Result<InspectRequest, CliError> {
         match (self.caller.as_deref(), self.listener.as_deref()) {
-            (None, None) => Ok(InspectQuestion::Dump),
-            (Some(caller), Some(listener)) => Ok(InspectQuestion::Flow(FlowKey {
+            (None, None) => Ok(InspectRequest::Dump),
+            (Some(caller), Some(listener)) => Ok(InspectRequest::Flow(FlowKey {
                 caller: parse_address("--caller", caller)?,
                 listener: parse_address("--listener", listener)?,
             })),
--- a/src/fleet/entry_maintenance.rs
+++ b/src/fleet/entry_maintenance.rs
@@ -14,7 +14,7 @@
     },
     fleet_counters::publish_gauge,
     fleet_datagram::FleetDatagram,
-    inspect_server::{InspectQuestion, Inspection},
+    inspect_server::{InspectRequest, Inspection},
 };
 use crate::{clock::ClockMillis, event::log_event};
 
@@ -91,7 +91,7 @@
     pub(super) fn answer_inspection(&self, inspection: Inspection) {
         let now = self.clock.now();
         let reply = match inspection.request {
-            InspectQuestion::Dump => json!({
+            InspectRequest::Dump => json!({
                 "role": "entry",
                 "name": self.settings.name,
                 "domain": self.settings.domain,
@@ -105,7 +105,7 @@
                 "suspects": self.flows.suspects(),
                 "packets": self.counters,
             }),
-            InspectQuestion::Flow(flow) => json!({
+            InspectRequest::Flow(flow) => json!({
                 "role": "entry",
                 "name": self.settings.name,
                 "routes_version": self.flows.table().version(),
--- a/src/fleet/inspect_server.rs
+++ b/src/fleet/inspect_server.rs
@@ -24,7 +24,7 @@
 /// What an operator asks a process for, as one line of JSON.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum InspectQuestion {
+pub enum InspectRequest {
     /// Its whole state.
     Dump,
     /// What it knows about a flow.
@@ -34,7 +34,7 @@
 /// A request on its way to the process's event loop.
 #[derive(Debug)]
 pub(super) struct Inspection {
-    pub(super) request: InspectQuestion,
+    pub(super) request: InspectRequest,
     /// Where the answer goes.
     pub(super) reply_to: oneshot::Sender<Value>,
 }
@@ -93,7 +93,7 @@
     write_half.write_all(format!("{reply}\n").as_bytes()).await
 }
 
-async fn forward_request(request: InspectQuestion, requests: &mpsc::Sender<Inspection>) -> Value {
+async fn forward_request(request: InspectRequest, requests: &mpsc::Sender<Inspection>) -> Value {
     let (reply_to, reply) = oneshot::channel();
     let sent = requests.send(Inspection { request, reply_to }).await;
     match (sent, reply.await) {
@@ -109,7 +109,7 @@
 /// Fails when it does not answer within two seconds, or not with JSON.
 pub async fn inspect_process(
     address: SocketAddrV4,
-    request: InspectQuestion,
+    request: InspectRequest,
 ) -> std::io::Result<Value> {
     let exchange = async {
         let mut stream = TcpStream::connect(address).await?;
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -35,7 +35,7 @@
 pub use entry_node::EntryNode;
 pub use fleet_error::FleetError;
 pub use fleet_settings::{FleetPorts, FleetSettings, SideSettings};
-pub use inspect_server::{InspectQuestion, inspect_process};
+pub use inspect_server::{InspectRequest, inspect_process};
 pub use settings_source::SettingsSource;
 pub use side_handle::{SideHandle, TargetNotice, TargetState};
 pub use side_node::SideNode;
--- a/src/fleet/side_node.rs
+++ b/src/fleet/side_node.rs
@@ -15,7 +15,7 @@
     fleet_counters::SideCounters,
     fleet_datagram::{FleetDatagram, MAX_DATAGRAM_BYTES},
     group_view::GroupView,
-    inspect_server::{InspectQuestion, Inspection, start_inspections},
+    inspect_server::{InspectRequest, Inspection, start_inspections},
     log_limiter::LogLimiter,
     side_handle::SideCommand,
     target_tracker::TargetTracker,
@@ -197,7 +197,7 @@
     fn answer_inspection(&self, inspection: Inspection) {
         let now = self.clock.now();
         let reply = match inspection.request {
-            InspectQuestion::Dump => json!({
+            InspectRequest::Dump => json!({
                 "role": "side",
                 "name": self.settings.fleet.name,
                 "service": self.settings.service,
@@ -213,7 +213,7 @@
                 "waiting": self.flows.waiting(),
                 "packets": self.counters,
             }),
-            InspectQuestion::Flow(flow) => json!({
+            InspectRequest::Flow(flow) => json!({
                 "role": "side",
                 "name": self.settings.fleet.name,
                 "flow": self.flows.find(flow, now),
