--- a/src/control/control_run.rs
+++ b/src/control/control_run.rs
@@ -78,7 +78,7 @@
         ended = replica.task => Some(ended.unwrap_or(ReplicaShellError::Ended)),
     };
     if failure.is_none() {
-        replica.handle.step_aside().await;
+        replica.handle.transfer_leadership().await;
     }
     server.stop().await;
     if let Some(error) = failure {
--- a/src/control/replica_shell/replica_handle.rs
+++ b/src/control/replica_shell/replica_handle.rs
@@ -109,7 +109,7 @@
 
     /// Transfers leadership before this replica stops, if another one can take it in
     /// time.
-    pub(crate) async fn step_aside(&self) {
+    pub(crate) async fn transfer_leadership(&self) {
         if self.call_addresses.is_empty() {
             return;
         }
@@ -122,7 +122,7 @@
     }
 
     /// Sets the replicas to ask for admission while this replica is no voter.
-    pub(crate) fn meet_peers(&self, replicas: Vec<ReplicaId>) {
+    pub(crate) fn update_peers(&self, replicas: Vec<ReplicaId>) {
         // If the queue is full, a later update replaces this one.
         let _ = self
             .commands
--- a/src/fleet/local_replica.rs
+++ b/src/fleet/local_replica.rs
@@ -100,7 +100,7 @@
     /// Sets the replicas to ask for admission to the group.
     pub(super) fn update_peers(&self, members: &[Ipv4Addr]) {
         if let Some(handle) = self.handle() {
-            handle.meet_peers(members.iter().copied().map(ReplicaId::at).collect());
+            handle.update_peers(members.iter().copied().map(ReplicaId::at).collect());
         }
     }
 
@@ -135,7 +135,7 @@
     /// take over in time.
     pub(super) async fn transfer_leadership(&self) {
         if let Some(handle) = self.handle() {
-            handle.step_aside().await;
+            handle.transfer_leadership().await;
         }
     }
 
