--- a/src/control/replica/replica_view.rs
+++ b/src/control/replica/replica_view.rs
@@ -9,7 +9,7 @@
 /// A member as seen by this replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct MemberView {
-    pub(crate) seat: MemberId,
+    pub(crate) id: MemberId,
     pub(crate) voting_status: VotingStatus,
     /// The last entry known to be synced on it; zero on a replica that does not lead,
     /// except for itself.
@@ -21,7 +21,7 @@
 /// The state of a replica as shown to the rest of the process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ReplicaView {
-    pub(crate) seat: MemberId,
+    pub(crate) member_id: MemberId,
     /// Its group, if any.
     pub(crate) group: Option<GroupId>,
     /// The latest term seen.
@@ -51,7 +51,7 @@
     /// Returns the current state of this replica.
     pub(crate) fn view(&self, now: ClockMillis) -> ReplicaView {
         ReplicaView {
-            seat: self.member_id(),
+            member_id: self.member_id(),
             group: self.hard_state.group,
             term: self.hard_state.term,
             role: self.public_role(),
@@ -96,7 +96,7 @@
                     _ => (LogIndex::ZERO, None),
                 };
                 MemberView {
-                    seat: member.id,
+                    id: member.id,
                     voting_status: member.voting_status,
                     match_index,
                     silence,
--- a/src/control/replica_shell/replica_driver.rs
+++ b/src/control/replica_shell/replica_driver.rs
@@ -174,7 +174,7 @@
             ReplicaCommand::TransferLeadership => ReplicaEvent::LeadershipTransferRequested,
             ReplicaCommand::UpdatePeers { replicas } => {
                 let members = self.core.view(self.clock.now()).members;
-                let member_replicas = members.iter().map(|member| member.seat.replica);
+                let member_replicas = members.iter().map(|member| member.id.replica);
                 let needed: Vec<ReplicaId> =
                     member_replicas.chain(replicas.iter().copied()).collect();
                 self.prune_links(&needed);
--- a/src/control/replica_shell/replica_handle.rs
+++ b/src/control/replica_shell/replica_handle.rs
@@ -156,10 +156,10 @@
         let members = view.members.iter();
         members
             .filter_map(|member| {
-                let replica = member.seat.replica;
-                let is_own = replica == view.seat.replica;
+                let replica = member.id.replica;
+                let is_own = replica == view.member_id.replica;
                 let role = match member.voting_status {
-                    _ if leader == Some(member.seat.disk) => ReplicaRole::Leader,
+                    _ if leader == Some(member.id.disk) => ReplicaRole::Leader,
                     VotingStatus::Voter => ReplicaRole::Follower,
                     VotingStatus::Learner => ReplicaRole::Learner,
                 };
--- a/src/fleet/local_replica.rs
+++ b/src/fleet/local_replica.rs
@@ -75,18 +75,16 @@
             return Vec::new();
         }
         let members = view.members.iter();
-        members
-            .map(|member| member.seat.replica.address())
-            .collect()
+        members.map(|member| member.id.replica.address()).collect()
     }
 
     /// Returns the leader that this replica follows, or itself if it leads.
     pub(super) fn leader(&self) -> Option<Ipv4Addr> {
         let view = self.handle()?.view();
         match view.role {
-            ReplicaRole::Leader => Some(view.seat.replica.address()),
+            ReplicaRole::Leader => Some(view.member_id.replica.address()),
             ReplicaRole::Follower | ReplicaRole::Learner => {
-                view.leader.map(|seat| seat.replica.address())
+                view.leader.map(|member_id| member_id.replica.address())
             }
         }
     }
