--- a/src/control/replica/membership.rs
+++ b/src/control/replica/membership.rs
@@ -59,11 +59,11 @@
 
     /// Returns the removal of a silent voter of an open group.
     fn next_removal(&self, leader: &LeaderState, now: ClockMillis) -> Option<MemberChange> {
-        let GroupAdmission::Open { least_voters, .. } = self.peers.admission else {
+        let GroupAdmission::Open { min_voters, .. } = self.peers.admission else {
             return None;
         };
         let members = self.log.members();
-        if members.voters().count() <= least_voters {
+        if members.voters().count() <= min_voters {
             return None;
         }
         members
--- a/src/control/replica/replica_core.rs
+++ b/src/control/replica/replica_core.rs
@@ -34,9 +34,9 @@
     /// Any replica may join, and silent voters are removed automatically.
     Open {
         /// Whether this replica may form the group with the listed peers.
-        founds: bool,
+        may_form_group: bool,
         /// Automatic removal leaves at least this many voters.
-        least_voters: usize,
+        min_voters: usize,
     },
 }
 
@@ -45,7 +45,7 @@
     pub(super) fn may_form_group(self) -> bool {
         match self {
             Self::Listed => true,
-            Self::Open { founds, .. } => founds,
+            Self::Open { may_form_group, .. } => may_form_group,
         }
     }
 
--- a/src/control/replica/tests/group_simulator.rs
+++ b/src/control/replica/tests/group_simulator.rs
@@ -112,8 +112,8 @@
             admission: match self.founders {
                 None => GroupAdmission::Listed,
                 Some(founders) => GroupAdmission::Open {
-                    founds: node < founders && !self.nodes[node].lost_disk,
-                    least_voters: 3,
+                    may_form_group: node < founders && !self.nodes[node].lost_disk,
+                    min_voters: 3,
                 },
             },
         };
--- a/src/fleet/local_replica.rs
+++ b/src/fleet/local_replica.rs
@@ -169,8 +169,8 @@
         }),
         folder,
         admission: GroupAdmission::Open {
-            founds: settings.bootstrap && is_seed,
-            least_voters: 2 * settings.tolerated_losses + 1,
+            may_form_group: settings.bootstrap && is_seed,
+            min_voters: 2 * settings.tolerated_losses + 1,
         },
         disk_faults: DiskFaultPolicy::Retry,
     }
