--- a/src/control/replica_shell/replica_handle.rs
+++ b/src/control/replica_shell/replica_handle.rs
@@ -11,7 +11,7 @@
     control::{
         api::{CallRefusal, ReplicaRole, ReplicaStatus},
         replica::{EntryPayload, MAX_ENTRY_BYTES, ReplicaId, ReplicaView, VotingStatus},
-        store::LeadView,
+        store::LeaderView,
     },
     key::FeedRevision,
 };
@@ -114,7 +114,8 @@
             return;
         }
         let deadline = Instant::now() + TRANSFER_TIMEOUT_MILLIS.duration();
-        while matches!(self.lead(), LeadView::Leading { .. }) && Instant::now() < deadline {
+        while matches!(self.leader_view(), LeaderView::Leading { .. }) && Instant::now() < deadline
+        {
             // A driver that has ended no longer leads.
             let _ = self.commands.try_send(ReplicaCommand::TransferLeadership);
             sleep(TRANSFER_RETRY_MILLIS.duration()).await;
@@ -135,13 +136,13 @@
     }
 
     /// Returns whether this replica leads, or else the known leader's call address.
-    pub(crate) fn lead(&self) -> LeadView {
+    pub(crate) fn leader_view(&self) -> LeaderView {
         let view = self.view.borrow();
         match view.role {
-            ReplicaRole::Leader => LeadView::Leading {
+            ReplicaRole::Leader => LeaderView::Leading {
                 term: view.term.number(),
             },
-            ReplicaRole::Follower | ReplicaRole::Learner => LeadView::Following {
+            ReplicaRole::Follower | ReplicaRole::Learner => LeaderView::Following {
                 leader: view
                     .leader
                     .and_then(|member_id| self.call_address(member_id.replica)),
--- a/src/control/server/control_service.rs
+++ b/src/control/server/control_service.rs
@@ -16,7 +16,7 @@
         feed::WatcherTable,
         lease::{CountLeases, LEASE_MILLIS, LeaseKeeper, RenewLease},
         state::{ControlCommand, ControlOutcome, ControlState},
-        store::{ControlStore, LeadView, ReadConfirmer, StateHandle},
+        store::{ControlStore, LeaderView, ReadConfirmer, StateHandle},
     },
     key::FeedRevision,
     manifest::check_manifest,
@@ -102,7 +102,7 @@
         &self,
         request: HeartbeatRequest,
     ) -> Result<HeartbeatReceipt, CallRefusal> {
-        if let LeadView::Following { leader } = self.store.lead() {
+        if let LeaderView::Following { leader } = self.store.leader_view() {
             return Err(CallRefusal::NotLeader { leader });
         }
         let renewal = RenewLease {
@@ -165,7 +165,7 @@
     }
 
     async fn propose(&self, command: ControlCommand) -> Result<ControlOutcome, CallRefusal> {
-        if let LeadView::Following { leader } = self.store.lead() {
+        if let LeaderView::Following { leader } = self.store.leader_view() {
             return Err(CallRefusal::NotLeader { leader });
         }
         self.store.propose(&command).await
--- a/src/control/server/lease_driver.rs
+++ b/src/control/server/lease_driver.rs
@@ -10,7 +10,7 @@
         ControlEvent,
         lease::{DecideLeases, HoldReport, ResignLeases, TakeLeases},
         state::ControlCommand,
-        store::LeadView,
+        store::LeaderView,
     },
     event::log_event,
     key::{IncarnationId, TargetKey},
@@ -28,22 +28,22 @@
     let mut leading_term = None;
     loop {
         tick.tick().await;
-        match (service.store.lead(), leading_term) {
-            (LeadView::Leading { term }, Some(current)) if term == current => {
+        match (service.store.leader_view(), leading_term) {
+            (LeaderView::Leading { term }, Some(current)) if term == current => {
                 expire_leases(&service).await;
             }
-            (LeadView::Leading { term }, _) => {
+            (LeaderView::Leading { term }, _) => {
                 // The keeper stops only together with the replica, so an error is ignored.
                 let _ = service.leases.ask(TakeLeases).await;
                 log_event!(info, ControlEvent::LeasesTaken, term);
                 leading_term = Some(term);
             }
-            (LeadView::Following { .. }, Some(_)) => {
+            (LeaderView::Following { .. }, Some(_)) => {
                 let _ = service.leases.ask(ResignLeases).await;
                 log_event!(info, ControlEvent::LeasesResigned);
                 leading_term = None;
             }
-            (LeadView::Following { .. }, None) => {}
+            (LeaderView::Following { .. }, None) => {}
         }
     }
 }
--- a/src/control/store/control_store.rs
+++ b/src/control/store/control_store.rs
@@ -1,6 +1,6 @@
 use std::net::SocketAddrV4;
 
-use super::LeadView;
+use super::LeaderView;
 #[cfg(test)]
 use super::MemoryStore;
 use crate::{
@@ -57,11 +57,11 @@
     }
 
     /// Returns this replica's view of the leader.
-    pub(crate) fn lead(&self) -> LeadView {
+    pub(crate) fn leader_view(&self) -> LeaderView {
         match self {
             #[cfg(test)]
-            Self::Memory(_) => LeadView::Leading { term: 1 },
-            Self::Replicated(handle) => handle.lead(),
+            Self::Memory(_) => LeaderView::Leading { term: 1 },
+            Self::Replicated(handle) => handle.leader_view(),
         }
     }
 
--- a/src/control/store/lead_view.rs
+++ b/src/control/store/leader_view.rs
@@ -2,7 +2,7 @@
 
 /// A replica's view of the group's leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum LeadView {
+pub(crate) enum LeaderView {
     /// This replica leads in the given term.
     Leading {
         /// The term; it grows with each election.
--- a/src/control/store/mod.rs
+++ b/src/control/store/mod.rs
@@ -2,14 +2,14 @@
 //! reads and accessing the state.
 
 mod control_store;
-mod lead_view;
+mod leader_view;
 #[cfg(test)]
 mod memory_store;
 mod read_confirmer;
 mod state_handle;
 
 pub(crate) use control_store::ControlStore;
-pub(crate) use lead_view::LeadView;
+pub(crate) use leader_view::LeaderView;
 #[cfg(test)]
 pub(crate) use memory_store::MemoryStore;
 pub(crate) use read_confirmer::ReadConfirmer;
