--- a/src/control/journal/replica_journal.rs
+++ b/src/control/journal/replica_journal.rs
@@ -98,7 +98,7 @@
         }
         if let Some(snapshot) = &batch.snapshot {
             write_snapshot(&self.folder, snapshot)?;
-            if batch.resets_log {
+            if batch.replaces_log {
                 remove_segments(&self.folder, &mut self.segments)?;
             }
         }
@@ -106,7 +106,7 @@
         if let Some(commit) = batch.commit {
             self.mark.write(commit)?;
         }
-        self.compact(batch.drop_to)
+        self.compact(batch.compacted_index)
     }
 
     fn append(&mut self, entries: &[LogEntry]) -> Result<(), JournalError> {
@@ -128,10 +128,10 @@
         }
     }
 
-    /// Removes the oldest segments that hold no entry after `drop_to`, but never the newest.
-    fn compact(&mut self, drop_to: LogIndex) -> Result<(), JournalError> {
+    /// Removes the oldest segments that hold no entry after `compacted_index`, but never the newest.
+    fn compact(&mut self, compacted_index: LogIndex) -> Result<(), JournalError> {
         while let [first, _, ..] = self.segments.as_slice()
-            && first.last_index() <= drop_to
+            && first.last_index() <= compacted_index
         {
             self.segments.remove(0).remove()?;
         }
--- a/src/control/journal/tests/mod.rs
+++ b/src/control/journal/tests/mod.rs
@@ -64,7 +64,7 @@
     }
 }
 
-fn snapshot_batch(index: u64, term: u64, resets_log: bool, drop_to: u64) -> DiskBatch {
+fn snapshot_batch(index: u64, term: u64, replaces_log: bool, compacted_index: u64) -> DiskBatch {
     DiskBatch {
         snapshot: Some(GroupSnapshot {
             index: LogIndex::new(index),
@@ -72,8 +72,8 @@
             members: GroupMembers::default(),
             payload: EntryPayload::new(vec![1, 2, 3]),
         }),
-        resets_log,
-        drop_to: LogIndex::new(drop_to),
+        replaces_log,
+        compacted_index: LogIndex::new(compacted_index),
         ..DiskBatch::default()
     }
 }
--- a/src/control/replica/disk_queue.rs
+++ b/src/control/replica/disk_queue.rs
@@ -14,9 +14,9 @@
     pub(crate) hard_state: Option<HardState>,
     pub(crate) snapshot: Option<GroupSnapshot>,
     /// Whether the snapshot replaces all entries written before.
-    pub(crate) resets_log: bool,
+    pub(crate) replaces_log: bool,
     /// Entries up to this index may be removed once the snapshot is synced.
-    pub(crate) drop_to: LogIndex,
+    pub(crate) compacted_index: LogIndex,
     /// Entries to append; the first replaces earlier entries from its index on.
     pub(crate) entries: Vec<LogEntry>,
     /// The commit index to save, if any.
@@ -92,16 +92,16 @@
     }
 
     /// Queues a snapshot of a prefix of the log.
-    pub(crate) fn save_snapshot(&mut self, snapshot: GroupSnapshot, drop_to: LogIndex) {
+    pub(crate) fn save_snapshot(&mut self, snapshot: GroupSnapshot, compacted_index: LogIndex) {
         self.batch.snapshot = Some(snapshot);
-        self.batch.drop_to = drop_to;
+        self.batch.compacted_index = compacted_index;
         self.dirty = true;
     }
 
     /// Queues a snapshot that replaces the whole log.
     pub(crate) fn replace_log(&mut self, snapshot: GroupSnapshot) {
         self.batch.entries.clear();
-        self.batch.resets_log = true;
+        self.batch.replaces_log = true;
         self.durable_index = LogIndex::ZERO;
         if let Some(sync) = &mut self.in_flight {
             sync.last_index = None;
@@ -142,7 +142,7 @@
         let snapshot_index = batch
             .snapshot
             .as_ref()
-            .filter(|_| batch.resets_log)
+            .filter(|_| batch.replaces_log)
             .map(|snapshot| snapshot.index);
         let entry_index = batch.entries.last().map(|entry| entry.index);
         self.in_flight = Some(SyncInFlight {
--- a/src/control/replica/tests/test_node.rs
+++ b/src/control/replica/tests/test_node.rs
@@ -32,11 +32,11 @@
             self.disk.commit = commit;
         }
         if let Some(snapshot) = batch.snapshot {
-            let drop_to = batch.drop_to;
-            let resets = batch.resets_log;
+            let compacted_index = batch.compacted_index;
+            let replaces_log = batch.replaces_log;
             self.disk
                 .entries
-                .retain(|entry| !resets && entry.index > drop_to);
+                .retain(|entry| !replaces_log && entry.index > compacted_index);
             self.disk.snapshot = Some(snapshot);
         }
         for entry in batch.entries.into_iter().take(max_entries) {
