--- a/src/control/journal/recovery.rs
+++ b/src/control/journal/recovery.rs
@@ -81,11 +81,11 @@
         recovered,
         segments,
     };
-    if content.recovered.lacks_entries() {
+    if content.recovered.has_entry_gap() {
         let path = segment_paths.first().map_or(folder, |(_, path)| path);
         return Err(JournalError::damaged(path, 0, DamageFault::Gap));
     }
-    if !content.recovered.entries_connect() {
+    if !content.recovered.entries_continue_snapshot() {
         // Replacing the log by a snapshot was interrupted, so the entries are obsolete.
         content.recovered.entries.clear();
         remove_segments(folder, &mut content.segments)?;
--- a/src/control/replica/hard_state.rs
+++ b/src/control/replica/hard_state.rs
@@ -43,7 +43,7 @@
 impl RecoveredState {
     /// Returns whether the entries continue the snapshot's log: they include its
     /// last entry or begin right after it.
-    pub(crate) fn entries_connect(&self) -> bool {
+    pub(crate) fn entries_continue_snapshot(&self) -> bool {
         let Some(snapshot) = &self.snapshot else {
             return true;
         };
@@ -55,7 +55,7 @@
 
     /// Returns whether entries are missing before the first one: after the
     /// snapshot or, without a snapshot, from the start of the log.
-    pub(crate) fn lacks_entries(&self) -> bool {
+    pub(crate) fn has_entry_gap(&self) -> bool {
         let snapshot_index = self.snapshot.as_ref().map(|snapshot| snapshot.index);
         let next = snapshot_index.unwrap_or_default().next();
         self.entries.first().is_some_and(|first| first.index > next)
--- a/src/control/replica/replica_log.rs
+++ b/src/control/replica/replica_log.rs
@@ -40,7 +40,7 @@
 impl ReplicaLog {
     /// Creates the log from the content of the data folder.
     pub(crate) fn new(recovered: RecoveredState) -> Self {
-        let connects = recovered.entries_connect();
+        let continues_snapshot = recovered.entries_continue_snapshot();
         let mut log = Self {
             base_index: LogIndex::ZERO,
             base_term: TermNumber::ZERO,
@@ -53,7 +53,7 @@
         if let Some(snapshot) = recovered.snapshot {
             let index = snapshot.index;
             log.reset(snapshot);
-            if !connects {
+            if !continues_snapshot {
                 entries.clear();
             }
             if entries.first().is_some_and(|first| first.index <= index) {
