--- a/src/control/control_settings.rs
+++ b/src/control/control_settings.rs
@@ -62,8 +62,8 @@
     pub(crate) fn replica_options(&self) -> ReplicaOptions {
         let peers = self.peers.iter().map(|peer| PeerAddress {
             replica: ReplicaId::new(peer.replica.into()),
-            link: peer.link,
-            calls: peer.calls,
+            link_address: peer.link_address,
+            call_address: peer.call_address,
         });
         ReplicaOptions {
             own: ReplicaId::new(self.replica.into()),
--- a/src/control/peer_settings.rs
+++ b/src/control/peer_settings.rs
@@ -9,7 +9,8 @@
     /// The replica's number, unique in the group.
     pub replica: u8,
     /// The address on which it listens for other replicas.
-    pub link: SocketAddrV4,
+    #[serde(rename = "link")]
+    pub link_address: SocketAddrV4,
     /// The address on which it serves calls.
-    pub calls: SocketAddrV4,
+    pub call_address: SocketAddrV4,
 }
--- a/src/control/replica_shell/replica_driver.rs
+++ b/src/control/replica_shell/replica_driver.rs
@@ -77,10 +77,13 @@
         tokio::spawn(listener.run(inbox.clone(), secret.clone()));
     }
     let links = options.peers.iter().map(|peer| {
-        let sender = LinkSender::start(peer.replica, peer.link, secret.clone());
+        let sender = LinkSender::start(peer.replica, peer.link_address, secret.clone());
         (peer.replica, sender)
     });
-    let call_addresses = options.peers.iter().map(|peer| (peer.replica, peer.calls));
+    let call_addresses = options
+        .peers
+        .iter()
+        .map(|peer| (peer.replica, peer.call_address));
     let (commands, queue) = mpsc::channel(MAX_QUEUED_COMMANDS);
     let (view_sender, view) = watch::channel(core.view(clock.now()));
     let handle = ReplicaHandle {
@@ -232,7 +235,7 @@
     /// the address in its identifier, if the ports are known.
     fn link(&mut self, to: ReplicaId) -> Option<&LinkSender> {
         if let (Entry::Vacant(entry), Some(ports)) = (self.links.entry(to), self.ports) {
-            let address = SocketAddrV4::new(to.address(), ports.link);
+            let address = SocketAddrV4::new(to.address(), ports.link_port);
             entry.insert(LinkSender::start(to, address, self.secret.clone()));
         }
         self.links.get(&to)
--- a/src/control/replica_shell/replica_handle.rs
+++ b/src/control/replica_shell/replica_handle.rs
@@ -180,7 +180,7 @@
     /// Returns the call address of a replica.
     pub(super) fn call_address(&self, replica: ReplicaId) -> Option<SocketAddrV4> {
         let listed = self.call_addresses.get(&replica).copied();
-        let discovered = |ports: PeerPorts| SocketAddrV4::new(replica.address(), ports.calls);
+        let discovered = |ports: PeerPorts| SocketAddrV4::new(replica.address(), ports.call_port);
         listed.or_else(|| self.ports.map(discovered))
     }
 }
--- a/src/control/replica_shell/replica_options.rs
+++ b/src/control/replica_shell/replica_options.rs
@@ -7,18 +7,18 @@
 pub(crate) struct PeerAddress {
     pub(crate) replica: ReplicaId,
     /// Its address for peer connections.
-    pub(crate) link: SocketAddrV4,
+    pub(crate) link_address: SocketAddrV4,
     /// Its address for calls.
-    pub(crate) calls: SocketAddrV4,
+    pub(crate) call_address: SocketAddrV4,
 }
 
 /// The ports of replicas that are identified by their address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct PeerPorts {
     /// The port for peer connections.
-    pub(crate) link: u16,
+    pub(crate) link_port: u16,
     /// The port for calls.
-    pub(crate) calls: u16,
+    pub(crate) call_port: u16,
 }
 
 /// What a replica does when its disk fails.
--- a/src/demo/demo_site.rs
+++ b/src/demo/demo_site.rs
@@ -177,8 +177,8 @@
             peers: others
                 .map(|other| PeerSettings {
                     replica: other,
-                    link: self.link_address(other),
-                    calls: self.call_address(other),
+                    link_address: self.link_address(other),
+                    call_address: self.call_address(other),
                 })
                 .collect(),
             data_folder: self.folder.join(format!("control-{replica}")),
--- a/src/fleet/local_replica.rs
+++ b/src/fleet/local_replica.rs
@@ -153,8 +153,8 @@
         .filter(|seed| *seed != settings.address)
         .map(|seed| PeerAddress {
             replica: ReplicaId::at(seed),
-            link: SocketAddrV4::new(seed, settings.ports.links),
-            calls: SocketAddrV4::new(seed, operator_port),
+            link_address: SocketAddrV4::new(seed, settings.ports.links),
+            call_address: SocketAddrV4::new(seed, operator_port),
         });
     ReplicaOptions {
         own: ReplicaId::at(settings.address),
@@ -164,8 +164,8 @@
         )),
         peers: peers.collect(),
         ports: Some(PeerPorts {
-            link: settings.ports.links,
-            calls: operator_port,
+            link_port: settings.ports.links,
+            call_port: operator_port,
         }),
         folder,
         admission: GroupAdmission::Open {
