--- a/src/control/control_settings.rs
+++ b/src/control/control_settings.rs
@@ -72,7 +72,7 @@
             ports: None,
             folder: self.data_folder.join(LOG_FOLDER),
             admission: GroupAdmission::Listed,
-            disk_faults: DiskFaultPolicy::Stop,
+            disk_fault_policy: DiskFaultPolicy::Stop,
         }
     }
 
--- a/src/control/replica_shell/replica_driver.rs
+++ b/src/control/replica_shell/replica_driver.rs
@@ -57,7 +57,7 @@
     state: ReplicatedState,
     secret: SecretStore,
 ) -> Result<RunningReplica, ReplicaShellError> {
-    let (disk, reports) = DiskWriter::start(options.folder.clone(), options.disk_faults)
+    let (disk, reports) = DiskWriter::start(options.folder.clone(), options.disk_fault_policy)
         .map_err(ReplicaShellError::Thread)?;
     let recovered = reports
         .opened
--- a/src/control/replica_shell/replica_options.rs
+++ b/src/control/replica_shell/replica_options.rs
@@ -46,7 +46,7 @@
     pub(crate) folder: PathBuf,
     /// Which replicas may form and join the group.
     pub(crate) admission: GroupAdmission,
-    pub(crate) disk_faults: DiskFaultPolicy,
+    pub(crate) disk_fault_policy: DiskFaultPolicy,
 }
 
 impl ReplicaOptions {
--- a/src/fleet/local_replica.rs
+++ b/src/fleet/local_replica.rs
@@ -172,7 +172,7 @@
             may_form_group: settings.bootstrap && is_seed,
             min_voters: 2 * settings.tolerated_losses + 1,
         },
-        disk_faults: DiskFaultPolicy::Retry,
+        disk_fault_policy: DiskFaultPolicy::Retry,
     }
 }
 
