--- a/src/control/lease/lease_record.rs
+++ b/src/control/lease/lease_record.rs
@@ -5,7 +5,7 @@
 
 /// A registered incarnation, which holds a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct LeaseClaim {
+pub(crate) struct LeaseHolder {
     /// The target's address.
     pub(crate) target: TargetKey,
     /// The incarnation registered at the address.
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct LeaseRecord {
     /// The incarnation that holds the lease.
-    pub(crate) holder: LeaseClaim,
+    pub(crate) holder: LeaseHolder,
     /// A number unique to this record, since slots are reused.
     pub(crate) generation: u64,
     /// The time of the last heartbeat or grant.
--- a/src/control/lease/lease_table.rs
+++ b/src/control/lease/lease_table.rs
@@ -5,7 +5,7 @@
 
 use slab::Slab;
 
-use super::{ExpiryDecision, ExpiryHold, HoldReport, LeaseClaim, LeaseRecord};
+use super::{ExpiryDecision, ExpiryHold, HoldReport, LeaseHolder, LeaseRecord};
 use crate::{
     clock::{ClockMillis, SpanMillis},
     key::{IncarnationId, ServiceNumber, TargetKey},
@@ -45,7 +45,7 @@
     /// Creates a table with a full lease for each holder.
     #[cfg(test)]
     pub(crate) fn with_holders(
-        holders: impl IntoIterator<Item = LeaseClaim>,
+        holders: impl IntoIterator<Item = LeaseHolder>,
         now: ClockMillis,
     ) -> Self {
         let mut table = Self::default();
@@ -56,7 +56,7 @@
     }
 
     /// Makes `holders` the only lease holders. Existing leases keep their deadline.
-    pub(crate) fn sync_holders(&mut self, holders: Vec<LeaseClaim>, now: ClockMillis) {
+    pub(crate) fn sync_holders(&mut self, holders: Vec<LeaseHolder>, now: ClockMillis) {
         let registered: BTreeSet<TargetKey> = holders.iter().map(|holder| holder.target).collect();
         let unregistered: Vec<TargetKey> = self
             .slots_by_target
@@ -83,13 +83,13 @@
     }
 
     /// Grants a full lease to an incarnation, replacing that of another at the address.
-    pub(crate) fn grant(&mut self, holder: LeaseClaim, now: ClockMillis) {
+    pub(crate) fn grant(&mut self, holder: LeaseHolder, now: ClockMillis) {
         self.ensure_lease(holder, now);
         self.renew(holder.target, holder.incarnation, now);
     }
 
     /// Grants a full lease unless `holder` already has one.
-    fn ensure_lease(&mut self, holder: LeaseClaim, now: ClockMillis) {
+    fn ensure_lease(&mut self, holder: LeaseHolder, now: ClockMillis) {
         if self.holder_of(holder.target) == Some(holder) {
             return;
         }
@@ -245,7 +245,7 @@
         }));
     }
 
-    fn holder_of(&self, target: TargetKey) -> Option<LeaseClaim> {
+    fn holder_of(&self, target: TargetKey) -> Option<LeaseHolder> {
         let slot = self.slots_by_target.get(&target)?;
         Some(self.records[*slot].holder)
     }
--- a/src/control/lease/mod.rs
+++ b/src/control/lease/mod.rs
@@ -10,7 +10,7 @@
 pub(crate) use lease_keeper::{
     CountLeases, DecideLeases, LeaseKeeper, RenewLease, ResignLeases, TakeLeases,
 };
-pub(crate) use lease_record::{LeaseClaim, LeaseRecord};
+pub(crate) use lease_record::{LeaseHolder, LeaseRecord};
 pub(crate) use lease_table::{LEASE_MILLIS, LeaseTable};
 
 use expiry_hold::ExpiryHold;
--- a/src/control/lease/tests/measures.rs
+++ b/src/control/lease/tests/measures.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     clock::ClockMillis,
-    control::lease::{LEASE_MILLIS, LeaseClaim, LeaseTable},
+    control::lease::{LEASE_MILLIS, LeaseHolder, LeaseTable},
     key::{IncarnationId, ServiceNumber, TargetKey},
 };
 
@@ -27,8 +27,8 @@
     60_000
 };
 
-fn holders() -> Vec<LeaseClaim> {
-    let holder = |index: u32| LeaseClaim {
+fn holders() -> Vec<LeaseHolder> {
+    let holder = |index: u32| LeaseHolder {
         target: TargetKey::new(std::net::SocketAddrV4::new(index.into(), 7_000)),
         incarnation: IncarnationId::new(u64::from(index)),
         service: ServiceNumber::new(u16::try_from(index / 8).expect("few services")),
--- a/src/control/lease/tests/renewal.rs
+++ b/src/control/lease/tests/renewal.rs
@@ -7,31 +7,31 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     control::{
-        lease::{LEASE_MILLIS, LeaseClaim, LeaseTable},
+        lease::{LEASE_MILLIS, LeaseHolder, LeaseTable},
         server::tests::fixture::announcement,
         state::tests::generator::fixed_cases,
     },
     key::ServiceNumber,
 };
 
-pub(super) fn holder(service: u16, host: u8, incarnation: u64) -> LeaseClaim {
+pub(super) fn holder(service: u16, host: u8, incarnation: u64) -> LeaseHolder {
     let request = announcement("barge", host, incarnation);
-    LeaseClaim {
+    LeaseHolder {
         target: request.target,
         incarnation: request.incarnation,
         service: ServiceNumber::new(service),
     }
 }
 
-pub(super) fn renew(table: &mut LeaseTable, holder: LeaseClaim, now: u64) -> bool {
+pub(super) fn renew(table: &mut LeaseTable, holder: LeaseHolder, now: u64) -> bool {
     table.renew(holder.target, holder.incarnation, ClockMillis::new(now))
 }
 
-pub(super) fn expired(table: &mut LeaseTable, now: u64) -> Vec<LeaseClaim> {
+pub(super) fn expired(table: &mut LeaseTable, now: u64) -> Vec<LeaseHolder> {
     let decision = table.decide_expiries(ClockMillis::new(now));
     let expired = decision.expired.into_iter();
     expired
-        .map(|(target, incarnation)| LeaseClaim {
+        .map(|(target, incarnation)| LeaseHolder {
             target,
             incarnation,
             service: ServiceNumber::new(1),
@@ -40,7 +40,7 @@
 }
 
 /// Three targets of service 1, granted at 0.
-pub(super) fn three_targets() -> (LeaseTable, [LeaseClaim; 3]) {
+pub(super) fn three_targets() -> (LeaseTable, [LeaseHolder; 3]) {
     let holders = [1, 2, 3].map(|host| holder(1, host, 1));
     (
         LeaseTable::with_holders(holders, ClockMillis::ORIGIN),
@@ -122,9 +122,9 @@
     fn no_lease_expires_within_its_duration_after_a_heartbeat(
         heartbeats in prop::collection::vec((1_u8..7, 0_u64..4_000), 1..200),
     ) {
-        let holders: Vec<LeaseClaim> = (1..7).map(|host| holder(1, host, 1)).collect();
+        let holders: Vec<LeaseHolder> = (1..7).map(|host| holder(1, host, 1)).collect();
         let mut table = LeaseTable::with_holders(holders.clone(), ClockMillis::ORIGIN);
-        let mut last_heartbeat: BTreeMap<LeaseClaim, ClockMillis> = BTreeMap::new();
+        let mut last_heartbeat: BTreeMap<LeaseHolder, ClockMillis> = BTreeMap::new();
         let mut now = ClockMillis::ORIGIN;
         for (host, step) in heartbeats {
             now = now.after(SpanMillis::new(step));
--- a/src/control/store/state_handle.rs
+++ b/src/control/store/state_handle.rs
@@ -6,7 +6,7 @@
     control::{
         api::{CallRefusal, WatchScope},
         feed::{FeedAnswer, FeedNotifier, FeedScope, ReplicaState},
-        lease::LeaseClaim,
+        lease::LeaseHolder,
         state::StateError,
     },
     key::{FeedRevision, TargetKey},
@@ -29,9 +29,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum RegistrationChanges {
     /// Each change in order; `None` for a removed target.
-    Incremental(Vec<(TargetKey, Option<LeaseClaim>)>),
+    Incremental(Vec<(TargetKey, Option<LeaseHolder>)>),
     /// All registrations, if the changes since the revision are not available.
-    Full(Vec<LeaseClaim>),
+    Full(Vec<LeaseHolder>),
 }
 
 impl StateHandle {
@@ -97,7 +97,7 @@
     }
 
     /// Returns the incarnation that is registered at an address.
-    pub(crate) fn lease_holder(&self, target: TargetKey) -> Option<LeaseClaim> {
+    pub(crate) fn lease_holder(&self, target: TargetKey) -> Option<LeaseHolder> {
         let shared = self.lock();
         let registrations = shared.replica.state().registrations();
         registrations.target(target).map(lease_holder_of)
@@ -132,15 +132,15 @@
     }
 }
 
-fn lease_holder_of(route: &TargetRoute) -> LeaseClaim {
-    LeaseClaim {
+fn lease_holder_of(route: &TargetRoute) -> LeaseHolder {
+    LeaseHolder {
         target: route.key,
         incarnation: route.incarnation,
         service: route.service,
     }
 }
 
-fn registration_change(change: &RouteChange) -> Option<(TargetKey, Option<LeaseClaim>)> {
+fn registration_change(change: &RouteChange) -> Option<(TargetKey, Option<LeaseHolder>)> {
     match change {
         RouteChange::TargetSet(route) => Some((route.key, Some(lease_holder_of(route)))),
         RouteChange::TargetRemoved(target) => Some((*target, None)),
--- a/src/lab/cost/control_cost.rs
+++ b/src/lab/cost/control_cost.rs
@@ -11,7 +11,7 @@
     control::{
         api::{AnnounceRequest, HeartbeatRequest},
         feed::{FeedAnswer, FeedScope, ReplicaState},
-        lease::{LeaseClaim, LeaseTable},
+        lease::{LeaseHolder, LeaseTable},
         state::ControlCommand,
     },
     key::FeedRevision,
@@ -196,9 +196,9 @@
     effort: CostEffort,
     results: &mut Vec<CostResult>,
 ) -> Result<(), LabError> {
-    let claims: Vec<LeaseClaim> = (0..targets)
+    let holders: Vec<LeaseHolder> = (0..targets)
         .map(|index| target_route(index, index % services, 0))
-        .map(|route| LeaseClaim {
+        .map(|route| LeaseHolder {
             target: route.key,
             incarnation: route.incarnation,
             service: route.service,
@@ -206,18 +206,18 @@
         .collect();
     let before = resident_bytes()?;
     let mut table = LeaseTable::default();
-    for claim in &claims {
-        table.grant(*claim, ClockMillis::ORIGIN);
+    for holder in &holders {
+        table.grant(*holder, ClockMillis::ORIGIN);
     }
     let after = resident_bytes()?;
     let nanos = nanos_per_call(effort.rounds(200_000), |round| {
-        let claim = &claims[round * 7 % targets];
+        let holder = &holders[round * 7 % targets];
         let now = ClockMillis::new(round as u64 / 100);
-        black_box(table.renew(claim.target, claim.incarnation, now));
+        black_box(table.renew(holder.target, holder.incarnation, now));
     });
     let request = HeartbeatRequest {
-        target: claims[0].target,
-        incarnation: claims[0].incarnation,
+        target: holders[0].target,
+        incarnation: holders[0].incarnation,
     };
     let result = |measure: &str, figure, unit| CostResult::new(ROLE, measure, figure, unit);
     results.extend([
