--- a/src/control/lease/lease_keeper.rs
+++ b/src/control/lease/lease_keeper.rs
@@ -21,11 +21,11 @@
 
 /// This replica became the leader: grants a full lease to every registered incarnation.
 #[derive(Debug)]
-pub(crate) struct TakeLeases;
+pub(crate) struct GrantAllLeases;
 
 /// This replica no longer leads: drops all leases.
 #[derive(Debug)]
-pub(crate) struct ResignLeases;
+pub(crate) struct DropAllLeases;
 
 /// Renews a lease on a heartbeat; replies whether the incarnation is registered.
 #[derive(Debug)]
@@ -38,7 +38,7 @@
 
 /// Asks what to do about leases that are past their deadline.
 #[derive(Debug)]
-pub(crate) struct DecideLeases;
+pub(crate) struct DecideExpiries;
 
 /// Asks for the number of leases and holds.
 #[derive(Debug)]
@@ -83,20 +83,20 @@
     }
 }
 
-impl Message<TakeLeases> for LeaseKeeper {
+impl Message<GrantAllLeases> for LeaseKeeper {
     type Reply = ();
 
-    async fn handle(&mut self, _message: TakeLeases, _context: &mut Context<Self, ()>) {
+    async fn handle(&mut self, _message: GrantAllLeases, _context: &mut Context<Self, ()>) {
         self.table = LeaseTable::default();
         self.synced_revision = FeedRevision::EMPTY;
         self.sync_registrations();
     }
 }
 
-impl Message<ResignLeases> for LeaseKeeper {
+impl Message<DropAllLeases> for LeaseKeeper {
     type Reply = ();
 
-    async fn handle(&mut self, _message: ResignLeases, _context: &mut Context<Self, ()>) {
+    async fn handle(&mut self, _message: DropAllLeases, _context: &mut Context<Self, ()>) {
         self.table = LeaseTable::default();
         self.synced_revision = FeedRevision::EMPTY;
     }
@@ -125,12 +125,12 @@
     }
 }
 
-impl Message<DecideLeases> for LeaseKeeper {
+impl Message<DecideExpiries> for LeaseKeeper {
     type Reply = ExpiryDecision;
 
     async fn handle(
         &mut self,
-        _message: DecideLeases,
+        _message: DecideExpiries,
         _context: &mut Context<Self, Self::Reply>,
     ) -> Self::Reply {
         self.sync_registrations();
--- a/src/control/lease/mod.rs
+++ b/src/control/lease/mod.rs
@@ -8,7 +8,7 @@
 
 pub(crate) use expiry_decision::{ExpiryDecision, HoldReport};
 pub(crate) use lease_keeper::{
-    CountLeases, DecideLeases, LeaseKeeper, RenewLease, ResignLeases, TakeLeases,
+    CountLeases, DecideExpiries, DropAllLeases, GrantAllLeases, LeaseKeeper, RenewLease,
 };
 pub(crate) use lease_record::{LeaseHolder, LeaseRecord};
 pub(crate) use lease_table::{LEASE_MILLIS, LeaseTable};
--- a/src/control/lease/tests/registration_sync.rs
+++ b/src/control/lease/tests/registration_sync.rs
@@ -7,7 +7,7 @@
     control::{
         api::{AnnounceRequest, WithdrawRequest},
         feed::ReplicaState,
-        lease::{CountLeases, DecideLeases, LeaseKeeper, RenewLease, TakeLeases},
+        lease::{CountLeases, DecideExpiries, GrantAllLeases, LeaseKeeper, RenewLease},
         server::tests::fixture::{announcement, manifest},
         state::ControlCommand,
         store::StateHandle,
@@ -35,13 +35,13 @@
         &state,
         &ControlCommand::Apply(manifest(1, 0, &["barge"]).manifest),
     );
-    keeper.ask(TakeLeases).await.expect("a running keeper");
+    keeper.ask(GrantAllLeases).await.expect("a running keeper");
     commit(&state, &ControlCommand::Announce(old.clone()));
     assert!(renew(&keeper, &old).await);
     commit(&state, &ControlCommand::Announce(new.clone()));
     // The new incarnation sends a heartbeat before the keeper has synced either change.
     assert!(renew(&keeper, &new).await);
-    keeper.ask(DecideLeases).await.expect("a running keeper");
+    keeper.ask(DecideExpiries).await.expect("a running keeper");
     assert!(renew(&keeper, &new).await);
     assert!(!renew(&keeper, &old).await);
     let withdrawal = ControlCommand::Withdraw(WithdrawRequest {
@@ -49,7 +49,7 @@
         incarnation: new.incarnation,
     });
     commit(&state, &withdrawal);
-    keeper.ask(DecideLeases).await.expect("a running keeper");
+    keeper.ask(DecideExpiries).await.expect("a running keeper");
     assert!(!renew(&keeper, &new).await);
     let count = keeper.ask(CountLeases).await.expect("a running keeper");
     assert_eq!(count.leases, 0);
--- a/src/control/server/lease_driver.rs
+++ b/src/control/server/lease_driver.rs
@@ -8,7 +8,7 @@
     clock::SpanMillis,
     control::{
         ControlEvent,
-        lease::{DecideLeases, HoldReport, ResignLeases, TakeLeases},
+        lease::{DecideExpiries, DropAllLeases, GrantAllLeases, HoldReport},
         state::ControlCommand,
         store::LeaderView,
     },
@@ -34,12 +34,12 @@
             }
             (LeaderView::Leading { term }, _) => {
                 // The keeper stops only together with the replica, so an error is ignored.
-                let _ = service.leases.ask(TakeLeases).await;
+                let _ = service.leases.ask(GrantAllLeases).await;
                 log_event!(info, ControlEvent::LeasesTaken, term);
                 leading_term = Some(term);
             }
             (LeaderView::Following { .. }, Some(_)) => {
-                let _ = service.leases.ask(ResignLeases).await;
+                let _ = service.leases.ask(DropAllLeases).await;
                 log_event!(info, ControlEvent::LeasesResigned);
                 leading_term = None;
             }
@@ -49,7 +49,7 @@
 }
 
 async fn expire_leases(service: &ControlService) {
-    let Ok(verdict) = service.leases.ask(DecideLeases).await else {
+    let Ok(verdict) = service.leases.ask(DecideExpiries).await else {
         return;
     };
     for report in &verdict.held {
