--- a/src/control/lease/lease_keeper.rs
+++ b/src/control/lease/lease_manager.rs
@@ -12,7 +12,7 @@
 
 /// The actor that owns the lease table. Only a leading replica keeps leases.
 #[derive(Actor)]
-pub(crate) struct LeaseKeeper {
+pub(crate) struct LeaseManager {
     state: StateHandle,
     clock: ProcessClock,
     table: LeaseTable,
@@ -53,8 +53,8 @@
     pub(crate) holds: usize,
 }
 
-impl LeaseKeeper {
-    /// Creates a keeper without leases.
+impl LeaseManager {
+    /// Creates a manager without leases.
     pub(crate) fn new(state: StateHandle, clock: ProcessClock) -> Self {
         Self {
             state,
@@ -83,7 +83,7 @@
     }
 }
 
-impl Message<GrantAllLeases> for LeaseKeeper {
+impl Message<GrantAllLeases> for LeaseManager {
     type Reply = ();
 
     async fn handle(&mut self, _message: GrantAllLeases, _context: &mut Context<Self, ()>) {
@@ -93,7 +93,7 @@
     }
 }
 
-impl Message<DropAllLeases> for LeaseKeeper {
+impl Message<DropAllLeases> for LeaseManager {
     type Reply = ();
 
     async fn handle(&mut self, _message: DropAllLeases, _context: &mut Context<Self, ()>) {
@@ -102,7 +102,7 @@
     }
 }
 
-impl Message<RenewLease> for LeaseKeeper {
+impl Message<RenewLease> for LeaseManager {
     type Reply = bool;
 
     async fn handle(
@@ -125,7 +125,7 @@
     }
 }
 
-impl Message<DecideExpiries> for LeaseKeeper {
+impl Message<DecideExpiries> for LeaseManager {
     type Reply = ExpiryDecision;
 
     async fn handle(
@@ -138,7 +138,7 @@
     }
 }
 
-impl Message<CountLeases> for LeaseKeeper {
+impl Message<CountLeases> for LeaseManager {
     type Reply = LeaseCount;
 
     async fn handle(
--- a/src/control/lease/mod.rs
+++ b/src/control/lease/mod.rs
@@ -2,13 +2,13 @@
 
 mod expiry_decision;
 mod expiry_hold;
-mod lease_keeper;
+mod lease_manager;
 mod lease_record;
 mod lease_table;
 
 pub(crate) use expiry_decision::{ExpiryDecision, HoldReport};
-pub(crate) use lease_keeper::{
-    CountLeases, DecideExpiries, DropAllLeases, GrantAllLeases, LeaseKeeper, RenewLease,
+pub(crate) use lease_manager::{
+    CountLeases, DecideExpiries, DropAllLeases, GrantAllLeases, LeaseManager, RenewLease,
 };
 pub(crate) use lease_record::{LeaseHolder, LeaseRecord};
 pub(crate) use lease_table::{LEASE_MILLIS, LeaseTable};
--- a/src/control/server/control_service.rs
+++ b/src/control/server/control_service.rs
@@ -14,7 +14,7 @@
             ControlStatus, DumpedService, HeartbeatReceipt, HeartbeatRequest, WithdrawRequest,
         },
         feed::WatcherTable,
-        lease::{CountLeases, LEASE_MILLIS, LeaseKeeper, RenewLease},
+        lease::{CountLeases, LEASE_MILLIS, LeaseManager, RenewLease},
         state::{ControlCommand, ControlOutcome, ControlState},
         store::{ControlStore, LeaderView, ReadConfirmer, StateHandle},
     },
@@ -34,7 +34,7 @@
     pub(super) state: StateHandle,
     pub(super) store: ControlStore,
     pub(super) confirmer: ReadConfirmer,
-    pub(super) leases: ActorRef<LeaseKeeper>,
+    pub(super) leases: ActorRef<LeaseManager>,
     pub(super) limiter: CallLimiter,
     pub(super) clock: ProcessClock,
     watchers: Mutex<WatcherTable>,
@@ -49,12 +49,12 @@
         store: ControlStore,
     ) -> Self {
         let clock = ProcessClock::new();
-        let keeper = LeaseKeeper::new(state.clone(), clock);
+        let manager = LeaseManager::new(state.clone(), clock);
         Self {
             name,
             address,
             confirmer: ReadConfirmer::start(store.clone()),
-            leases: kameo::Actor::spawn(keeper),
+            leases: kameo::Actor::spawn(manager),
             state,
             store,
             limiter: CallLimiter::new(),
--- a/src/control/server/lease_driver.rs
+++ b/src/control/server/lease_driver.rs
@@ -33,7 +33,7 @@
                 expire_leases(&service).await;
             }
             (LeaderView::Leading { term }, _) => {
-                // The keeper stops only together with the replica, so an error is ignored.
+                // The manager stops only together with the replica, so an error is ignored.
                 let _ = service.leases.ask(GrantAllLeases).await;
                 log_event!(info, ControlEvent::LeasesTaken, term);
                 leading_term = Some(term);
