--- a/src/control/peer_settings.rs
+++ b/src/control/peer_settings.rs
@@ -12,5 +12,6 @@
     #[serde(rename = "link")]
     pub link_address: SocketAddrV4,
     /// The address on which it serves calls.
+    #[serde(rename = "calls")]
     pub call_address: SocketAddrV4,
 }
