--- a/src/control/feed/change_history.rs
+++ b/src/control/feed/change_history.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns the number of changes kept.
-    pub(crate) fn held(&self) -> usize {
+    pub(crate) fn change_count(&self) -> usize {
         self.change_count
     }
 
--- a/src/control/feed/feed_answer.rs
+++ b/src/control/feed/feed_answer.rs
@@ -24,7 +24,7 @@
     /// Nothing in the watcher's scope changed up to this revision.
     Unchanged(FeedRevision),
     /// A delta or a snapshot.
-    News(EncodedReply),
+    Update(EncodedReply),
     /// This replica's state is older than the watcher's.
     Behind,
 }
--- a/src/control/feed/replica_state.rs
+++ b/src/control/feed/replica_state.rs
@@ -100,18 +100,18 @@
             return FeedAnswer::Unchanged(revision);
         }
         if in_force == FeedRevision::EMPTY {
-            return FeedAnswer::News(self.encoded_snapshot(scope));
+            return FeedAnswer::Update(self.encoded_snapshot(scope));
         }
         if let Some(reply) = self.cache.get(scope, Some(in_force)) {
-            return FeedAnswer::News(reply);
+            return FeedAnswer::Update(reply);
         }
         match self.history.delta(scope, in_force, DELTA_BYTES) {
-            None => FeedAnswer::News(self.encoded_snapshot(scope)),
+            None => FeedAnswer::Update(self.encoded_snapshot(scope)),
             Some(delta) if is_noop_for(scope, &delta) => FeedAnswer::Unchanged(delta.revision),
             Some(delta) => {
                 let reply = encode_reply(&FeedReply::Delta(delta));
                 self.cache.insert(scope, Some(in_force), &reply);
-                FeedAnswer::News(reply)
+                FeedAnswer::Update(reply)
             }
         }
     }
--- a/src/control/feed/tests/budget.rs
+++ b/src/control/feed/tests/budget.rs
@@ -18,7 +18,7 @@
 #[test]
 fn a_new_watcher_gets_its_first_reply_at_once() {
     let now = ClockMillis::new(5);
-    assert_eq!(WatcherBudget::new(now).pause(now), SpanMillis::ZERO);
+    assert_eq!(WatcherBudget::new(now).reply_delay(now), SpanMillis::ZERO);
 }
 
 #[test]
@@ -26,7 +26,7 @@
     let now = ClockMillis::new(5);
     let mut budget = WatcherBudget::new(now);
     budget.charge(6_000_000, now);
-    assert!(budget.pause(now) <= SpanMillis::new(2_000));
+    assert!(budget.reply_delay(now) <= SpanMillis::new(2_000));
 }
 
 proptest! {
@@ -40,7 +40,7 @@
         let mut budget = WatcherBudget::new(now);
         let mut sent = 0;
         for size in sizes {
-            now = now.after(budget.pause(now));
+            now = now.after(budget.reply_delay(now));
             budget.charge(size, now);
             sent += size + 900;
         }
@@ -69,8 +69,8 @@
     let mut now = ClockMillis::ORIGIN;
     let mut budget = WatcherBudget::new(now);
     let (mut in_force, mut sent) = (FeedRevision::new(1), 0);
-    while let FeedAnswer::News(reply) = replica.answer(FeedScope::All, in_force) {
-        now = now.after(budget.pause(now));
+    while let FeedAnswer::Update(reply) = replica.answer(FeedScope::All, in_force) {
+        now = now.after(budget.reply_delay(now));
         budget.charge(reply.bytes(), now);
         sent += reply.bytes() + 900;
         let Ok(FeedReply::Delta(delta)) = serde_json::from_str(reply.text.get()) else {
--- a/src/control/feed/tests/convergence.rs
+++ b/src/control/feed/tests/convergence.rs
@@ -72,7 +72,7 @@
                 return replies;
             }
             FeedAnswer::Behind => panic!("the replica can't be behind its own feed"),
-            FeedAnswer::News(reply) => reply,
+            FeedAnswer::Update(reply) => reply,
         };
         match serde_json::from_str(reply.text.get()).expect("a valid reply") {
             FeedReply::Delta(delta) => {
--- a/src/control/feed/tests/watchers.rs
+++ b/src/control/feed/tests/watchers.rs
@@ -23,7 +23,7 @@
 ) -> Result<(), CallRefusal> {
     let domain = DomainName::new("vestland", "sund");
     let revision = FeedRevision::new(revision);
-    table.hear(&name(index), &domain, revision, ClockMillis::new(now))
+    table.record_call(&name(index), &domain, revision, ClockMillis::new(now))
 }
 
 #[test]
--- a/src/control/feed/watcher_budget.rs
+++ b/src/control/feed/watcher_budget.rs
@@ -26,7 +26,7 @@
     }
 
     /// Returns how long the next reply has to wait.
-    pub(crate) fn pause(&mut self, now: ClockMillis) -> SpanMillis {
+    pub(crate) fn reply_delay(&mut self, now: ClockMillis) -> SpanMillis {
         self.refill(now);
         let debt = u64::try_from(-self.balance_bytes).unwrap_or(0);
         SpanMillis::new((debt * 1_000).div_ceil(BYTES_PER_SECOND))
--- a/src/control/feed/watcher_table.rs
+++ b/src/control/feed/watcher_table.rs
@@ -58,7 +58,7 @@
     /// # Errors
     ///
     /// Refuses a new watcher when the table is full.
-    pub(crate) fn hear(
+    pub(crate) fn record_call(
         &mut self,
         name: &WatcherName,
         domain: &DomainName,
@@ -92,10 +92,10 @@
     }
 
     /// Returns how long the next reply to a watcher must wait for its budget.
-    pub(crate) fn pause(&mut self, name: &WatcherName, now: ClockMillis) -> SpanMillis {
+    pub(crate) fn reply_delay(&mut self, name: &WatcherName, now: ClockMillis) -> SpanMillis {
         self.records
             .get_mut(name)
-            .map_or(SpanMillis::ZERO, |record| record.budget.pause(now))
+            .map_or(SpanMillis::ZERO, |record| record.budget.reply_delay(now))
     }
 
     /// Charges a reply to the budget of a watcher.
--- a/src/control/server/control_service.rs
+++ b/src/control/server/control_service.rs
@@ -145,7 +145,7 @@
             name: self.name.clone(),
             status,
             history_floor: replica.history().floor(),
-            history_changes: replica.history().held(),
+            history_changes: replica.history().change_count(),
             leases: count.leases,
             lease_holds: count.holds,
             services: dump_services(replica.state()),
--- a/src/control/server/tests/watch.rs
+++ b/src/control/server/tests/watch.rs
@@ -111,7 +111,7 @@
     };
     // The watcher should be waiting by now; otherwise it is refused as well.
     tokio::time::sleep(Duration::from_millis(200)).await;
-    store.cut_off();
+    store.isolate();
     let fresh = service.watch(watch_after(0, WatchScope::All, 0)).await;
     assert_eq!(fresh.err(), Some(CallRefusal::NoQuorum));
     assert_eq!(service.status().await, Err(CallRefusal::NoQuorum));
--- a/src/control/server/watch_call.rs
+++ b/src/control/server/watch_call.rs
@@ -27,7 +27,7 @@
     #[serde(rename = "Idle")]
     Unchanged(FeedReply),
     /// A delta or a snapshot, already encoded.
-    #[serde(rename = "News")]
+    #[serde(rename = "Update")]
     Encoded(#[serde(serialize_with = "serialize_raw")] Arc<RawValue>),
 }
 
@@ -46,10 +46,10 @@
         let now = self.clock.now();
         let (watcher, in_force) = (&request.watcher, request.in_force);
         self.watchers()
-            .hear(watcher, &request.domain, in_force, now)?;
+            .record_call(watcher, &request.domain, in_force, now)?;
         let wait = request.wait.min(MAX_WAIT_MILLIS).duration();
         let deadline = Instant::now() + wait;
-        let mut current = self.confirmer.current();
+        let mut status = self.confirmer.confirmation_status();
         self.confirmer.confirm().await?;
         let scope = self.state.scope(&request.scope)?;
         let mut revisions = self.state.subscribe(scope);
@@ -58,9 +58,9 @@
             let answer = self.state.answer(scope, in_force);
             let timed_out = Instant::now() >= deadline;
             match answer {
-                FeedAnswer::News(reply) => {
+                FeedAnswer::Update(reply) => {
                     if self.wait_for_budget(&request).await {
-                        // Picks up changes that arrived during the pause.
+                        // Picks up changes that arrived during the delay.
                         continue;
                     }
                     return Ok(self.encoded_reply(&request, reply));
@@ -74,18 +74,20 @@
             tokio::select! {
                 _ = revisions.changed() => {}
                 () = sleep_until(deadline) => {}
-                () = until_unconfirmed(&mut current) => return Err(CallRefusal::NoQuorum),
+                () = until_unconfirmed(&mut status) => return Err(CallRefusal::NoQuorum),
             }
         }
     }
 
     /// Waits until the watcher's byte budget allows a reply; returns whether it waited.
     async fn wait_for_budget(&self, request: &WatchRequest) -> bool {
-        let pause = self.watchers().pause(&request.watcher, self.clock.now());
-        if pause == SpanMillis::ZERO {
+        let delay = self
+            .watchers()
+            .reply_delay(&request.watcher, self.clock.now());
+        if delay == SpanMillis::ZERO {
             return false;
         }
-        tokio::time::sleep(pause.duration().max(Duration::from_millis(1))).await;
+        tokio::time::sleep(delay.duration().max(Duration::from_millis(1))).await;
         true
     }
 
@@ -108,7 +110,7 @@
                 self.watchers().charge(&request.watcher, 0, now);
                 Ok(WatchReply::Unchanged(FeedReply::Unchanged { revision }))
             }
-            FeedAnswer::News(reply) => Ok(self.encoded_reply(request, reply)),
+            FeedAnswer::Update(reply) => Ok(self.encoded_reply(request, reply)),
             FeedAnswer::Behind => Err(CallRefusal::NoQuorum),
         }
     }
--- a/src/control/store/memory_store.rs
+++ b/src/control/store/memory_store.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct MemoryStore {
     state: StateHandle,
-    is_cut_off: Arc<AtomicBool>,
+    is_isolated: Arc<AtomicBool>,
 }
 
 impl MemoryStore {
@@ -18,13 +18,13 @@
     pub(crate) fn new(state: StateHandle) -> Self {
         Self {
             state,
-            is_cut_off: Arc::new(AtomicBool::new(false)),
+            is_isolated: Arc::new(AtomicBool::new(false)),
         }
     }
 
     /// Makes every later call fail, as if this replica had lost its connections to the others.
-    pub(crate) fn cut_off(&self) {
-        self.is_cut_off.store(true, Ordering::Relaxed);
+    pub(crate) fn isolate(&self) {
+        self.is_isolated.store(true, Ordering::Relaxed);
     }
 
     /// Executes a command at once and returns its encoded outcome.
@@ -33,9 +33,9 @@
         Ok(self.state.apply(command))
     }
 
-    /// Returns the revision of the state, unless this replica is cut off.
+    /// Returns the revision of the state, unless this replica is isolated.
     pub(crate) fn confirm_read(&self) -> Result<FeedRevision, CallRefusal> {
-        if self.is_cut_off.load(Ordering::Relaxed) {
+        if self.is_isolated.load(Ordering::Relaxed) {
             return Err(CallRefusal::NoQuorum);
         }
         Ok(self.state.revision())
--- a/src/control/store/read_confirmer.rs
+++ b/src/control/store/read_confirmer.rs
@@ -22,16 +22,16 @@
 #[derive(Debug, Clone)]
 pub(crate) struct ReadConfirmer {
     requests: mpsc::Sender<oneshot::Sender<Confirmation>>,
-    current: watch::Receiver<bool>,
+    status: watch::Receiver<bool>,
 }
 
 impl ReadConfirmer {
     /// Spawns the confirming task; must be called within a Tokio runtime.
     pub(crate) fn start(store: ControlStore) -> Self {
         let (requests, receiver) = mpsc::channel(MAX_PENDING_READS);
-        let (sender, current) = watch::channel(true);
+        let (sender, status) = watch::channel(true);
         tokio::spawn(confirm_reads(store, receiver, sender));
-        Self { requests, current }
+        Self { requests, status }
     }
 
     /// Waits for a confirmation that starts after the call; returns the confirmed revision.
@@ -48,15 +48,15 @@
     }
 
     /// Returns a receiver of whether the last confirmation succeeded; true before the first.
-    pub(crate) fn current(&self) -> watch::Receiver<bool> {
-        self.current.clone()
+    pub(crate) fn confirmation_status(&self) -> watch::Receiver<bool> {
+        self.status.clone()
     }
 }
 
 async fn confirm_reads(
     store: ControlStore,
     mut receiver: mpsc::Receiver<oneshot::Sender<Confirmation>>,
-    current: watch::Sender<bool>,
+    status: watch::Sender<bool>,
 ) {
     let mut idle = interval(IDLE_INTERVAL_MILLIS.duration());
     idle.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -73,7 +73,7 @@
         let confirmation = timeout(CONFIRM_TIMEOUT_MILLIS.duration(), store.confirm_read())
             .await
             .unwrap_or(Err(CallRefusal::NoQuorum));
-        current.send_if_modified(|was| {
+        status.send_if_modified(|was| {
             let is = confirmation.is_ok();
             std::mem::replace(was, is) != is
         });
--- a/src/lab/cost/control_cost.rs
+++ b/src/lab/cost/control_cost.rs
@@ -171,7 +171,7 @@
 
 fn reply_bytes(state: &mut ReplicaState, from: FeedRevision) -> usize {
     match state.answer(FeedScope::All, from) {
-        FeedAnswer::News(reply) => reply.bytes(),
+        FeedAnswer::Update(reply) => reply.bytes(),
         FeedAnswer::Unchanged(_) | FeedAnswer::Behind => 0,
     }
 }
@@ -179,7 +179,7 @@
 /// Polls the feed until it is up to date; returns the bytes and the number of calls.
 fn catch_up(state: &mut ReplicaState, from: FeedRevision) -> (usize, usize) {
     let (mut from, mut bytes, mut calls) = (from, 0, 0);
-    while let FeedAnswer::News(reply) = state.answer(FeedScope::All, from) {
+    while let FeedAnswer::Update(reply) = state.answer(FeedScope::All, from) {
         bytes += reply.bytes();
         calls += 1;
         match serde_json::from_str(reply.text.get()) {
