--- a/src/control/server/watch_call.rs
+++ b/src/control/server/watch_call.rs
@@ -27,7 +27,7 @@
     #[serde(rename = "Idle")]
     Unchanged(FeedReply),
     /// A delta or a snapshot, already encoded.
-    #[serde(rename = "Update")]
+    #[serde(rename = "News")]
     Encoded(#[serde(serialize_with = "serialize_raw")] Arc<RawValue>),
 }
 
@@ -117,7 +117,7 @@
 }
 
 /// Completes when this replica can no longer confirm that its state is current.
-async fn until_unconfirmed(current: &mut watch::Receiver<bool>) {
+async fn until_unconfirmed(status: &mut watch::Receiver<bool>) {
     // An error means that the confirmer has stopped, so nothing can be confirmed either.
-    let _ = current.wait_for(|current| !*current).await;
+    let _ = status.wait_for(|current| !*current).await;
 }
