--- a/src/control/control_run.rs
+++ b/src/control/control_run.rs
@@ -7,7 +7,7 @@
 
 use super::{
     ControlEvent, ControlSettings,
-    feed::ReplicaState,
+    feed::FeedState,
     replica_shell::{ReplicaShellError, ReplicatedState, start_replica},
     server::{ControlServer, ControlService, ServerError, write_listening},
     store::{ControlStore, StateHandle},
@@ -60,7 +60,7 @@
     let options = settings.replica_options();
     let secret = SecretStore::open(settings.secret_file)?;
     let (listener, address) = ControlServer::bind(settings.listen)?;
-    let state = StateHandle::new(ReplicaState::new());
+    let state = StateHandle::new(FeedState::new());
     let replica = start_replica(
         options,
         ReplicatedState::Registry(state.clone()),
--- a/src/control/feed/replica_state.rs
+++ b/src/control/feed/feed_state.rs
@@ -15,13 +15,13 @@
 
 /// The replicated state of one replica, with the recent changes that its feed serves.
 #[derive(Debug)]
-pub(crate) struct ReplicaState {
+pub(crate) struct FeedState {
     state: ControlState,
     history: ChangeHistory,
     cache: ReplyCache,
 }
 
-impl ReplicaState {
+impl FeedState {
     /// Creates the initial state.
     pub(crate) fn new() -> Self {
         Self::with_state(ControlState::new())
--- a/src/control/feed/mod.rs
+++ b/src/control/feed/mod.rs
@@ -5,7 +5,7 @@
 mod feed_answer;
 mod feed_notifier;
 mod feed_scope;
-mod replica_state;
+mod feed_state;
 mod reply_cache;
 mod watcher_budget;
 mod watcher_table;
@@ -14,7 +14,7 @@
 pub(crate) use feed_answer::{EncodedReply, FeedAnswer};
 pub(crate) use feed_notifier::FeedNotifier;
 pub(crate) use feed_scope::FeedScope;
-pub(crate) use replica_state::ReplicaState;
+pub(crate) use feed_state::FeedState;
 pub(crate) use watcher_budget::WatcherBudget;
 pub(crate) use watcher_table::WatcherTable;
 
--- a/src/control/feed/tests/budget.rs
+++ b/src/control/feed/tests/budget.rs
@@ -8,7 +8,7 @@
     clock::{ClockMillis, SpanMillis},
     control::{
         api::FeedReply,
-        feed::{FeedAnswer, FeedScope, ReplicaState, WatcherBudget},
+        feed::{FeedAnswer, FeedScope, FeedState, WatcherBudget},
         server::tests::fixture::{announcement, manifest},
         state::{ControlCommand, tests::generator::fixed_cases},
     },
@@ -51,12 +51,12 @@
 
 #[test]
 fn five_hundred_missed_changes_arrive_within_seven_seconds_and_within_the_budget() {
-    let mut replica = ReplicaState::new();
-    let apply = |replica: &mut ReplicaState, command: ControlCommand| {
-        replica.apply(&command.encode().expect("an encodable command"));
+    let mut feed = FeedState::new();
+    let apply = |feed: &mut FeedState, command: ControlCommand| {
+        feed.apply(&command.encode().expect("an encodable command"));
     };
     apply(
-        &mut replica,
+        &mut feed,
         ControlCommand::Apply(manifest(1, 0, &["barge"]).manifest),
     );
     for index in 0..500 {
@@ -64,12 +64,12 @@
         let mut request = announcement("barge", low, u64::MAX - u64::from(index));
         let host = Ipv4Addr::new(10, 1, high, low);
         request.target = TargetKey::new(SocketAddrV4::new(host, 65_535));
-        apply(&mut replica, ControlCommand::Announce(request));
+        apply(&mut feed, ControlCommand::Announce(request));
     }
     let mut now = ClockMillis::ORIGIN;
     let mut budget = WatcherBudget::new(now);
     let (mut in_force, mut sent) = (FeedRevision::new(1), 0);
-    while let FeedAnswer::Update(reply) = replica.answer(FeedScope::All, in_force) {
+    while let FeedAnswer::Update(reply) = feed.answer(FeedScope::All, in_force) {
         now = now.after(budget.reply_delay(now));
         budget.charge(reply.bytes(), now);
         sent += reply.bytes() + 900;
--- a/src/control/feed/tests/convergence.rs
+++ b/src/control/feed/tests/convergence.rs
@@ -7,7 +7,7 @@
 use crate::{
     control::{
         api::FeedReply,
-        feed::{ChangeHistory, FeedAnswer, FeedScope, ReplicaState},
+        feed::{ChangeHistory, FeedAnswer, FeedScope, FeedState},
         state::tests::generator::{any_commands, fixed_cases},
     },
     key::{FeedRevision, ServiceNumber, TargetKey},
@@ -60,13 +60,13 @@
 
 /// Requests replies until the watcher is up to date; returns their number.
 fn catch_up(
-    replica: &mut ReplicaState,
+    feed: &mut FeedState,
     scope: FeedScope,
     routes: &mut WatchedRoutes,
     in_force: &mut FeedRevision,
 ) -> usize {
     for replies in 0.. {
-        let reply = match replica.answer(scope, *in_force) {
+        let reply = match feed.answer(scope, *in_force) {
             FeedAnswer::Unchanged(revision) => {
                 *in_force = revision;
                 return replies;
@@ -103,18 +103,18 @@
         max_changes in 1_usize..30,
     ) {
         let history = ChangeHistory::new(FeedRevision::EMPTY).with_max_changes(max_changes);
-        let mut replica = ReplicaState::new().with_history(history);
+        let mut feed = FeedState::new().with_history(history);
         let mut routes = WatchedRoutes::default();
         let mut in_force = FeedRevision::EMPTY;
         for (command, poll) in commands.iter().zip(polls) {
-            replica.apply(&command.encode().expect("an encodable command"));
+            feed.apply(&command.encode().expect("an encodable command"));
             if poll {
-                catch_up(&mut replica, scope, &mut routes, &mut in_force);
+                catch_up(&mut feed, scope, &mut routes, &mut in_force);
             }
         }
-        catch_up(&mut replica, scope, &mut routes, &mut in_force);
-        prop_assert_eq!(in_force, replica.state().revision());
-        prop_assert_eq!(routes, WatchedRoutes::from_snapshot(replica.routes(scope)));
+        catch_up(&mut feed, scope, &mut routes, &mut in_force);
+        prop_assert_eq!(in_force, feed.state().revision());
+        prop_assert_eq!(routes, WatchedRoutes::from_snapshot(feed.routes(scope)));
     }
 
     #[test]
@@ -124,19 +124,19 @@
         start in 0_usize..60,
         byte_limit in 1_usize..200,
     ) {
-        let mut replica = ReplicaState::new();
+        let mut feed = FeedState::new();
         let start = start.min(commands.len());
         for command in &commands[..start] {
-            replica.apply(&command.encode().expect("an encodable command"));
+            feed.apply(&command.encode().expect("an encodable command"));
         }
-        let mut routes = WatchedRoutes::from_snapshot(replica.routes(scope));
-        let mut in_force = replica.state().revision();
+        let mut routes = WatchedRoutes::from_snapshot(feed.routes(scope));
+        let mut in_force = feed.state().revision();
         for command in &commands[start..] {
-            replica.apply(&command.encode().expect("an encodable command"));
+            feed.apply(&command.encode().expect("an encodable command"));
         }
-        let newest = replica.state().revision();
+        let newest = feed.state().revision();
         while in_force < newest {
-            let delta = replica
+            let delta = feed
                 .history()
                 .delta(scope, in_force, byte_limit)
                 .expect("a complete history");
@@ -144,7 +144,7 @@
             in_force = delta.revision;
             routes.execute(delta);
         }
-        prop_assert_eq!(routes, WatchedRoutes::from_snapshot(replica.routes(scope)));
+        prop_assert_eq!(routes, WatchedRoutes::from_snapshot(feed.routes(scope)));
     }
 
     #[test]
@@ -153,16 +153,16 @@
         scope in any_scope(),
         restored_at in 0_usize..40,
     ) {
-        let mut replica = ReplicaState::new();
+        let mut feed = FeedState::new();
         let mut routes = WatchedRoutes::default();
         let mut in_force = FeedRevision::EMPTY;
         let restored_at = restored_at.min(commands.len());
         for command in &commands[..restored_at] {
-            replica.apply(&command.encode().expect("an encodable command"));
+            feed.apply(&command.encode().expect("an encodable command"));
         }
-        catch_up(&mut replica, scope, &mut routes, &mut in_force);
-        let mut other = ReplicaState::new();
-        other.restore(&replica.snapshot().expect("an encodable state")).expect("a valid snapshot");
+        catch_up(&mut feed, scope, &mut routes, &mut in_force);
+        let mut other = FeedState::new();
+        other.restore(&feed.snapshot().expect("an encodable state")).expect("a valid snapshot");
         for command in &commands[restored_at..] {
             other.apply(&command.encode().expect("an encodable command"));
         }
@@ -173,7 +173,7 @@
 
 #[test]
 fn a_replica_older_than_the_watcher_reports_that_it_is_behind() {
-    let mut replica = ReplicaState::new();
-    let answer = replica.answer(FeedScope::All, FeedRevision::new(1));
+    let mut feed = FeedState::new();
+    let answer = feed.answer(FeedScope::All, FeedRevision::new(1));
     assert!(matches!(answer, FeedAnswer::Behind));
 }
--- a/src/control/lease/tests/registration_sync.rs
+++ b/src/control/lease/tests/registration_sync.rs
@@ -6,7 +6,7 @@
     clock::ProcessClock,
     control::{
         api::{AnnounceRequest, WithdrawRequest},
-        feed::ReplicaState,
+        feed::FeedState,
         lease::{CountLeases, DecideExpiries, GrantAllLeases, LeaseManager, RenewLease},
         server::tests::fixture::{announcement, manifest},
         state::ControlCommand,
@@ -28,7 +28,7 @@
 
 #[tokio::test]
 async fn a_replaced_incarnation_loses_its_lease_and_its_successor_keeps_its_own() {
-    let state = StateHandle::new(ReplicaState::new());
+    let state = StateHandle::new(FeedState::new());
     let manager = LeaseManager::spawn(LeaseManager::new(state.clone(), ProcessClock::new()));
     let (old, new) = (announcement("barge", 1, 1), announcement("barge", 1, 2));
     commit(
--- a/src/control/server/tests/fixture.rs
+++ b/src/control/server/tests/fixture.rs
@@ -7,7 +7,7 @@
     control::{
         api::{AnnounceRequest, ApplyRequest, WatchRequest, WatchScope, WatcherName},
         client::ControlClient,
-        feed::ReplicaState,
+        feed::FeedState,
         server::{CallLimiter, ControlServer, ControlService},
         store::{ControlStore, MemoryStore, StateHandle},
     },
@@ -31,7 +31,7 @@
 
     pub(crate) fn with_limiter(limiter: CallLimiter) -> Self {
         let secret = test_secret(7);
-        let state = StateHandle::new(ReplicaState::new());
+        let state = StateHandle::new(FeedState::new());
         let store = ControlStore::Memory(MemoryStore::new(state.clone()));
         let (listener, address) =
             ControlServer::bind(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)).expect("a free port");
--- a/src/control/server/tests/watch.rs
+++ b/src/control/server/tests/watch.rs
@@ -11,7 +11,7 @@
     control::{
         api::{CallRefusal, FeedReply, WatchScope},
         client::ControlClientError,
-        feed::ReplicaState,
+        feed::FeedState,
         server::ControlService,
         store::{ControlStore, MemoryStore, StateHandle},
     },
@@ -94,7 +94,7 @@
 
 #[tokio::test]
 async fn an_isolated_replica_refuses_waiting_and_new_watchers() {
-    let state = StateHandle::new(ReplicaState::new());
+    let state = StateHandle::new(FeedState::new());
     let store = MemoryStore::new(state.clone());
     let service = Arc::new(ControlService::new(
         "control-test".to_owned(),
--- a/src/control/store/state_handle.rs
+++ b/src/control/store/state_handle.rs
@@ -5,7 +5,7 @@
 use crate::{
     control::{
         api::{CallRefusal, WatchScope},
-        feed::{FeedAnswer, FeedNotifier, FeedScope, ReplicaState},
+        feed::{FeedAnswer, FeedNotifier, FeedScope, FeedState},
         lease::LeaseHolder,
         state::StateError,
     },
@@ -21,7 +21,7 @@
 
 #[derive(Debug)]
 struct SharedState {
-    replica: ReplicaState,
+    feed: FeedState,
     notifier: FeedNotifier,
 }
 
@@ -35,11 +35,11 @@
 }
 
 impl StateHandle {
-    /// Creates a handle to `replica`.
-    pub(crate) fn new(replica: ReplicaState) -> Self {
-        let notifier = FeedNotifier::new(replica.state().revision());
+    /// Creates a handle to `feed`.
+    pub(crate) fn new(feed: FeedState) -> Self {
+        let notifier = FeedNotifier::new(feed.state().revision());
         Self {
-            shared: Arc::new(Mutex::new(SharedState { replica, notifier })),
+            shared: Arc::new(Mutex::new(SharedState { feed, notifier })),
         }
     }
 
@@ -47,9 +47,9 @@
     /// outcome.
     pub(crate) fn apply(&self, command: &[u8]) -> Vec<u8> {
         let mut shared = self.lock();
-        let transition = shared.replica.apply(command);
+        let transition = shared.feed.apply(command);
         if transition.effective {
-            let revision = shared.replica.state().revision();
+            let revision = shared.feed.state().revision();
             shared.notifier.notify(revision, &transition.changes);
         }
         transition.outcome.encode()
@@ -57,33 +57,33 @@
 
     /// Encodes the replicated state as a snapshot.
     pub(crate) fn snapshot(&self) -> Result<Vec<u8>, StateError> {
-        self.lock().replica.snapshot()
+        self.lock().feed.snapshot()
     }
 
     /// Replaces the state with that of a snapshot and wakes every watcher.
     pub(crate) fn restore(&self, bytes: &[u8]) -> Result<(), StateError> {
         let mut shared = self.lock();
-        shared.replica.restore(bytes)?;
-        let revision = shared.replica.state().revision();
+        shared.feed.restore(bytes)?;
+        let revision = shared.feed.state().revision();
         shared.notifier.notify_all(revision);
         Ok(())
     }
 
     /// Returns the revision of the state.
     pub(crate) fn revision(&self) -> FeedRevision {
-        self.lock().replica.state().revision()
+        self.lock().feed.state().revision()
     }
 
     /// Calls `inspect` with the state locked. It must be short and must not use this handle.
-    pub(crate) fn read<T>(&self, inspect: impl FnOnce(&ReplicaState) -> T) -> T {
-        inspect(&self.lock().replica)
+    pub(crate) fn read<T>(&self, inspect: impl FnOnce(&FeedState) -> T) -> T {
+        inspect(&self.lock().feed)
     }
 
     /// Resolves the scope that a watcher requested.
     ///
     /// Fails for a service name that was never in a manifest.
     pub(crate) fn scope(&self, scope: &WatchScope) -> Result<FeedScope, CallRefusal> {
-        self.lock().replica.scope(scope)
+        self.lock().feed.scope(scope)
     }
 
     /// Returns a receiver that is notified when `scope` may have changed.
@@ -93,13 +93,13 @@
 
     /// Returns the reply for a watcher whose routes are at revision `in_force`.
     pub(crate) fn answer(&self, scope: FeedScope, in_force: FeedRevision) -> FeedAnswer {
-        self.lock().replica.answer(scope, in_force)
+        self.lock().feed.answer(scope, in_force)
     }
 
     /// Returns the incarnation that is registered at an address.
     pub(crate) fn lease_holder(&self, target: TargetKey) -> Option<LeaseHolder> {
         let shared = self.lock();
-        let registrations = shared.replica.state().registrations();
+        let registrations = shared.feed.state().registrations();
         registrations.target(target).map(lease_holder_of)
     }
 
@@ -109,8 +109,8 @@
         since: FeedRevision,
     ) -> (FeedRevision, RegistrationChanges) {
         let shared = self.lock();
-        let state = shared.replica.state();
-        let recent = shared.replica.history().changes_after(since);
+        let state = shared.feed.state();
+        let recent = shared.feed.history().changes_after(since);
         let changes = match recent {
             Some(changes) if since != FeedRevision::EMPTY => {
                 let changes = changes.filter_map(|change| registration_change(&change.change));
--- a/src/control/store/tests/mod.rs
+++ b/src/control/store/tests/mod.rs
@@ -3,7 +3,7 @@
 use super::{ControlStore, MemoryStore, ReadConfirmer, RegistrationChanges, StateHandle};
 use crate::{
     control::{
-        feed::ReplicaState,
+        feed::FeedState,
         server::tests::fixture::{announcement, manifest},
         state::{ControlCommand, ControlOutcome},
     },
@@ -11,7 +11,7 @@
 };
 
 fn memory_store() -> (StateHandle, ControlStore) {
-    let state = StateHandle::new(ReplicaState::new());
+    let state = StateHandle::new(FeedState::new());
     let store = ControlStore::Memory(MemoryStore::new(state.clone()));
     (state, store)
 }
--- a/src/lab/cost/control_cost.rs
+++ b/src/lab/cost/control_cost.rs
@@ -10,7 +10,7 @@
     clock::ClockMillis,
     control::{
         api::{AnnounceRequest, HeartbeatRequest},
-        feed::{FeedAnswer, FeedScope, ReplicaState},
+        feed::{FeedAnswer, FeedScope, FeedState},
         lease::{LeaseHolder, LeaseTable},
         state::ControlCommand,
     },
@@ -33,7 +33,7 @@
     let targets = effort.size(TARGETS);
     let before = resident_bytes()?;
     let mut results = Vec::new();
-    let mut state = ReplicaState::new();
+    let mut state = FeedState::new();
     apply_manifest(&mut state, services, &mut results)?;
     let mut nanos = Vec::new();
     for index in 0..targets {
@@ -72,7 +72,7 @@
 }
 
 fn apply_manifest(
-    state: &mut ReplicaState,
+    state: &mut FeedState,
     services: usize,
     results: &mut Vec<CostResult>,
 ) -> Result<(), LabError> {
@@ -119,13 +119,13 @@
 }
 
 fn measure_feed(
-    state: &mut ReplicaState,
+    state: &mut FeedState,
     services: usize,
     targets: usize,
     effort: CostEffort,
     results: &mut Vec<CostResult>,
 ) -> Result<(), LabError> {
-    let apply_missed = |state: &mut ReplicaState, count: u64| -> Result<FeedRevision, LabError> {
+    let apply_missed = |state: &mut FeedState, count: u64| -> Result<FeedRevision, LabError> {
         let from = state.state().revision();
         for round in 0..count {
             let index = round as usize * 13 % targets;
@@ -169,7 +169,7 @@
     Ok(())
 }
 
-fn reply_bytes(state: &mut ReplicaState, from: FeedRevision) -> usize {
+fn reply_bytes(state: &mut FeedState, from: FeedRevision) -> usize {
     match state.answer(FeedScope::All, from) {
         FeedAnswer::Update(reply) => reply.bytes(),
         FeedAnswer::Unchanged(_) | FeedAnswer::Behind => 0,
@@ -177,7 +177,7 @@
 }
 
 /// Polls the feed until it is up to date; returns the bytes and the number of calls.
-fn catch_up(state: &mut ReplicaState, from: FeedRevision) -> (usize, usize) {
+fn catch_up(state: &mut FeedState, from: FeedRevision) -> (usize, usize) {
     let (mut from, mut bytes, mut calls) = (from, 0, 0);
     while let FeedAnswer::Update(reply) = state.answer(FeedScope::All, from) {
         bytes += reply.bytes();
