--- a/src/control/client/client_error.rs
+++ b/src/control/client/client_error.rs
@@ -1,7 +1,7 @@
 use miette::Diagnostic;
 use thiserror::Error;
 
-use super::LinkFault;
+use super::ReplicaCallError;
 use crate::control::api::CallRefusal;
 
 /// Why a call to the control group failed.
@@ -17,7 +17,7 @@
         /// The number of attempts.
         attempts: u32,
         /// Why the last attempt failed.
-        last: LinkFault,
+        last: ReplicaCallError,
     },
     /// The call may or may not have been executed; it is safe to send it again.
     #[error("the outcome is unknown after {attempts} attempts; last failure: {last}")]
@@ -25,6 +25,6 @@
         /// The number of attempts.
         attempts: u32,
         /// Why the last attempt failed.
-        last: LinkFault,
+        last: ReplicaCallError,
     },
 }
--- a/src/control/client/control_client.rs
+++ b/src/control/client/control_client.rs
@@ -10,7 +10,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 use super::{
-    ControlClientError, FailoverPlan, FailoverStep, LinkFault, ReplicaClient,
+    ControlClientError, FailoverPlan, FailoverStep, ReplicaCallError, ReplicaClient,
     replica_client::EncodedCall,
 };
 use crate::{
@@ -188,7 +188,10 @@
     /// # Errors
     ///
     /// Fails when this replica does not answer or is not current.
-    pub async fn status_at(&self, address: SocketAddrV4) -> Result<ControlStatus, LinkFault> {
+    pub async fn status_at(
+        &self,
+        address: SocketAddrV4,
+    ) -> Result<ControlStatus, ReplicaCallError> {
         self.call_replica(address, CallName::Status).await
     }
 
@@ -197,7 +200,7 @@
     /// # Errors
     ///
     /// Fails when this replica does not answer.
-    pub async fn dump_at(&self, address: SocketAddrV4) -> Result<ControlDump, LinkFault> {
+    pub async fn dump_at(&self, address: SocketAddrV4) -> Result<ControlDump, ReplicaCallError> {
         self.call_replica(address, CallName::Dump).await
     }
 
@@ -205,7 +208,7 @@
         &self,
         address: SocketAddrV4,
         name: CallName,
-    ) -> Result<R, LinkFault> {
+    ) -> Result<R, ReplicaCallError> {
         let call = EncodedCall::new(name, &StatusRequest {})?;
         self.attempt(address, &call, ATTEMPT_TIMEOUT_MILLIS).await
     }
@@ -229,7 +232,7 @@
         let unreachable = |last| ControlClientError::Unreachable { attempts: 0, last };
         let call = EncodedCall::new(name, request).map_err(unreachable)?;
         if self.shared.addresses.is_empty() {
-            return Err(unreachable(LinkFault::NoConnection));
+            return Err(unreachable(ReplicaCallError::NoConnection));
         }
         let deadline = self.shared.clock.now().after(timeouts.total);
         let start_index = self.start_index(choice).load(Ordering::Relaxed);
@@ -241,18 +244,18 @@
         loop {
             let remaining = deadline.since(self.shared.clock.now());
             let attempt_timeout = timeouts.attempt.min(remaining);
-            let fault = match self.attempt(address, &call, attempt_timeout).await {
+            let error = match self.attempt(address, &call, attempt_timeout).await {
                 Ok(reply) => {
                     self.record_success(choice, address);
                     return Ok(reply);
                 }
-                Err(fault) => fault,
+                Err(error) => error,
             };
             if choice == ReplicaChoice::Leader {
                 self.forget_leader(address);
             }
             let now = self.shared.clock.now();
-            let step = plan.record_fault(fault, now, &mut rand::rng());
+            let step = plan.record_error(error, now, &mut rand::rng());
             match step {
                 FailoverStep::Retry {
                     address: next,
@@ -273,17 +276,17 @@
         address: SocketAddrV4,
         call: &EncodedCall,
         attempt_timeout: SpanMillis,
-    ) -> Result<R, LinkFault> {
+    ) -> Result<R, ReplicaCallError> {
         let client = self.client(address)?;
         let reply = client.call(call, attempt_timeout).await;
-        if matches!(reply, Err(LinkFault::NoAnswer)) {
+        if matches!(reply, Err(ReplicaCallError::NoAnswer)) {
             // The idle connections to this replica may be dead as well.
             self.discard_client(address, &client);
         }
         reply
     }
 
-    fn client(&self, address: SocketAddrV4) -> Result<Arc<ReplicaClient>, LinkFault> {
+    fn client(&self, address: SocketAddrV4) -> Result<Arc<ReplicaClient>, ReplicaCallError> {
         let mut clients = lock(&self.shared.clients);
         if let Some(client) = clients.get(&address) {
             return Ok(Arc::clone(client));
--- a/src/control/client/failover_plan.rs
+++ b/src/control/client/failover_plan.rs
@@ -2,7 +2,7 @@
 
 use rand::{Rng, RngCore};
 
-use super::{ControlClientError, LinkFault};
+use super::{ControlClientError, ReplicaCallError};
 use crate::{
     clock::{ClockMillis, SpanMillis},
     control::api::CallRefusal,
@@ -62,29 +62,29 @@
         address
     }
 
-    /// Records the fault of an attempt that failed at `now`, and decides what follows.
-    pub(super) fn record_fault(
+    /// Records the error of an attempt that failed at `now`, and decides what follows.
+    pub(super) fn record_error(
         &mut self,
-        fault: LinkFault,
+        error: ReplicaCallError,
         now: ClockMillis,
         random: &mut dyn RngCore,
     ) -> FailoverStep {
         self.attempts += 1;
-        if let LinkFault::Refused(refusal) = &fault
+        if let ReplicaCallError::Refused(refusal) = &error
             && !refusal.is_transient()
         {
             return FailoverStep::Fail(ControlClientError::Refused(refusal.clone()));
         }
-        self.outcome_unknown |= !fault.is_not_executed();
-        if let Some(leader) = self.leader_hint(&fault) {
+        self.outcome_unknown |= !error.is_not_executed();
+        if let Some(leader) = self.leader_hint(&error) {
             return FailoverStep::Retry {
                 address: leader,
                 pause: SpanMillis::ZERO,
             };
         }
-        let pause = self.pause(&fault, random);
+        let pause = self.pause(&error, random);
         if now.after(pause) >= self.deadline {
-            return FailoverStep::Fail(self.give_up_error(fault));
+            return FailoverStep::Fail(self.give_up_error(error));
         }
         FailoverStep::Retry {
             address: self.next_address(),
@@ -92,19 +92,19 @@
         }
     }
 
-    fn leader_hint(&mut self, fault: &LinkFault) -> Option<SocketAddrV4> {
-        let LinkFault::Refused(CallRefusal::NotLeader { leader }) = fault else {
+    fn leader_hint(&mut self, error: &ReplicaCallError) -> Option<SocketAddrV4> {
+        let ReplicaCallError::Refused(CallRefusal::NotLeader { leader }) = error else {
             return None;
         };
         self.not_leader_refusals += 1;
         leader.filter(|_| self.not_leader_refusals <= MAX_REDIRECTS)
     }
 
-    fn pause(&self, fault: &LinkFault, random: &mut dyn RngCore) -> SpanMillis {
+    fn pause(&self, error: &ReplicaCallError, random: &mut dyn RngCore) -> SpanMillis {
         let count = u32::try_from(self.addresses.len()).unwrap_or(u32::MAX);
         let full_rounds = self.attempts / count.max(1);
-        let retry_after = match fault {
-            LinkFault::Refused(CallRefusal::Overloaded { retry_after_millis }) => {
+        let retry_after = match error {
+            ReplicaCallError::Refused(CallRefusal::Overloaded { retry_after_millis }) => {
                 *retry_after_millis
             }
             _ => 0,
@@ -117,13 +117,13 @@
         SpanMillis::new(random.random_range(max_pause / 2..=max_pause))
     }
 
-    fn give_up_error(&self, last: LinkFault) -> ControlClientError {
+    fn give_up_error(&self, last: ReplicaCallError) -> ControlClientError {
         let attempts = self.attempts;
         if self.outcome_unknown {
             return ControlClientError::OutcomeUnknown { attempts, last };
         }
         match last {
-            LinkFault::Refused(refusal) => ControlClientError::Refused(refusal),
+            ReplicaCallError::Refused(refusal) => ControlClientError::Refused(refusal),
             last => ControlClientError::Unreachable { attempts, last },
         }
     }
--- a/src/control/client/mod.rs
+++ b/src/control/client/mod.rs
@@ -3,12 +3,12 @@
 mod client_error;
 mod control_client;
 mod failover_plan;
-mod link_fault;
+mod replica_call_error;
 mod replica_client;
 
 pub use client_error::ControlClientError;
 pub use control_client::ControlClient;
-pub use link_fault::LinkFault;
+pub use replica_call_error::ReplicaCallError;
 
 use failover_plan::{FailoverPlan, FailoverStep};
 use replica_client::ReplicaClient;
--- a/src/control/client/link_fault.rs
+++ b/src/control/client/replica_call_error.rs
@@ -12,7 +12,7 @@
 
 /// Why a call to one replica failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
-pub enum LinkFault {
+pub enum ReplicaCallError {
     /// The replica refused the call.
     #[error(transparent)]
     #[diagnostic(transparent)]
@@ -36,7 +36,7 @@
     Protocol,
 }
 
-impl LinkFault {
+impl ReplicaCallError {
     /// Returns whether the call was certainly not executed.
     #[must_use]
     pub const fn is_not_executed(&self) -> bool {
@@ -63,26 +63,26 @@
     }
 }
 
-fn from_transport_error(error: &TransportError) -> LinkFault {
+fn from_transport_error(error: &TransportError) -> ReplicaCallError {
     match error {
         TransportError::Rejected {
             status_code: 401 | 413,
-        } => LinkFault::ProofRefused,
+        } => ReplicaCallError::ProofRefused,
         TransportError::Rejected { status_code: 429 } => {
-            LinkFault::Refused(CallRefusal::Overloaded {
+            ReplicaCallError::Refused(CallRefusal::Overloaded {
                 retry_after_millis: 0,
             })
         }
         TransportError::Http(HttpError::Stream(cause)) => {
             if let Some(proof) = cause.downcast_ref::<ProofError>() {
-                return LinkFault::ReplyProofInvalid(*proof);
+                return ReplicaCallError::ReplyProofInvalid(*proof);
             }
             let cause = cause.downcast_ref::<hyper_util::client::legacy::Error>();
             if cause.is_some_and(hyper_util::client::legacy::Error::is_connect) {
-                return LinkFault::NoConnection;
+                return ReplicaCallError::NoConnection;
             }
-            LinkFault::NoAnswer
+            ReplicaCallError::NoAnswer
         }
-        _ => LinkFault::NoAnswer,
+        _ => ReplicaCallError::NoAnswer,
     }
 }
--- a/src/control/client/replica_client.rs
+++ b/src/control/client/replica_client.rs
@@ -12,7 +12,7 @@
 use serde_json::value::RawValue;
 use tokio::time::timeout;
 
-use super::LinkFault;
+use super::ReplicaCallError;
 use crate::{
     clock::SpanMillis,
     control::api::{CallName, MAX_REPLY_BYTES, MAX_REQUEST_BYTES},
@@ -38,9 +38,9 @@
 
 impl EncodedCall {
     /// Encodes `request` as the only parameter of a call.
-    pub(super) fn new<Q: Serialize>(name: CallName, request: &Q) -> Result<Self, LinkFault> {
+    pub(super) fn new<Q: Serialize>(name: CallName, request: &Q) -> Result<Self, ReplicaCallError> {
         let params =
-            serde_json::value::to_raw_value(&[request]).map_err(|_| LinkFault::Protocol)?;
+            serde_json::value::to_raw_value(&[request]).map_err(|_| ReplicaCallError::Protocol)?;
         Ok(Self { name, params })
     }
 }
@@ -53,7 +53,10 @@
 
 impl ReplicaClient {
     /// Creates a client of the replica at `address` without connecting.
-    pub(super) fn new(address: SocketAddrV4, secret: SecretStore) -> Result<Self, LinkFault> {
+    pub(super) fn new(
+        address: SocketAddrV4,
+        secret: SecretStore,
+    ) -> Result<Self, ReplicaCallError> {
         let layer = SignLayer::new(secret, MAX_REPLY_BYTES);
         let client = HttpClientBuilder::new()
             .max_request_size(u32::try_from(MAX_REQUEST_BYTES).unwrap_or(u32::MAX))
@@ -62,7 +65,7 @@
             .set_http_middleware(tower::ServiceBuilder::new().layer(layer))
             .set_rpc_middleware(RpcServiceBuilder::new())
             .build(format!("http://{address}/"))
-            .map_err(|error: RpcError| LinkFault::from_rpc_error(&error))?;
+            .map_err(|error: RpcError| ReplicaCallError::from_rpc_error(&error))?;
         Ok(Self { client })
     }
 
@@ -71,12 +74,12 @@
         &self,
         call: &EncodedCall,
         attempt_timeout: SpanMillis,
-    ) -> Result<R, LinkFault> {
+    ) -> Result<R, ReplicaCallError> {
         let reply = self.client.request(call.name.method(), call.clone());
         match timeout(attempt_timeout.duration(), reply).await {
             Ok(Ok(reply)) => Ok(reply),
-            Ok(Err(error)) => Err(LinkFault::from_rpc_error(&error)),
-            Err(_) => Err(LinkFault::NoAnswer),
+            Ok(Err(error)) => Err(ReplicaCallError::from_rpc_error(&error)),
+            Err(_) => Err(ReplicaCallError::NoAnswer),
         }
     }
 }
--- a/src/control/client/tests/failover.rs
+++ b/src/control/client/tests/failover.rs
@@ -9,7 +9,7 @@
     clock::{ClockMillis, SpanMillis},
     control::{
         api::CallRefusal,
-        client::{ControlClientError, FailoverPlan, FailoverStep, LinkFault},
+        client::{ControlClientError, FailoverPlan, FailoverStep, ReplicaCallError},
     },
 };
 
@@ -23,17 +23,17 @@
     (1..=3).map(address).collect()
 }
 
-/// Records all faults at time 0 but the last, which is recorded at the deadline.
-fn call_error(faults: &[LinkFault]) -> ControlClientError {
+/// Records all errors at time 0 but the last, which is recorded at the deadline.
+fn call_error(errors: &[ReplicaCallError]) -> ControlClientError {
     let addresses = addresses();
     let mut plan = FailoverPlan::new(&addresses, 0, DEADLINE);
     let mut random = SmallRng::seed_from_u64(1);
     plan.next_address();
-    let (last, earlier) = faults.split_last().expect("at least one fault");
-    for fault in earlier {
-        plan.record_fault(fault.clone(), ClockMillis::ORIGIN, &mut random);
+    let (last, earlier) = errors.split_last().expect("at least one error");
+    for error in earlier {
+        plan.record_error(error.clone(), ClockMillis::ORIGIN, &mut random);
     }
-    match plan.record_fault(last.clone(), DEADLINE, &mut random) {
+    match plan.record_error(last.clone(), DEADLINE, &mut random) {
         FailoverStep::Fail(error) => error,
         FailoverStep::Retry { .. } => panic!("the deadline has passed"),
     }
@@ -45,7 +45,7 @@
     let mut plan = FailoverPlan::new(&addresses, 1, DEADLINE);
     assert_eq!(plan.next_address(), address(2));
     let mut random = SmallRng::seed_from_u64(1);
-    let step = plan.record_fault(LinkFault::NoAnswer, ClockMillis::ORIGIN, &mut random);
+    let step = plan.record_error(ReplicaCallError::NoAnswer, ClockMillis::ORIGIN, &mut random);
     let (address, pause) = (address(3), SpanMillis::ZERO);
     assert_eq!(step, FailoverStep::Retry { address, pause });
 }
@@ -59,8 +59,8 @@
     let leader = Some(address(9));
     let mut redirects = 0;
     for _ in 0..20 {
-        let fault = LinkFault::Refused(CallRefusal::NotLeader { leader });
-        let step = plan.record_fault(fault, ClockMillis::ORIGIN, &mut random);
+        let error = ReplicaCallError::Refused(CallRefusal::NotLeader { leader });
+        let step = plan.record_error(error, ClockMillis::ORIGIN, &mut random);
         let FailoverStep::Retry { address, .. } = step else {
             panic!("there is time left");
         };
@@ -76,7 +76,11 @@
     let mut random = SmallRng::seed_from_u64(1);
     let mut pauses = Vec::new();
     for _ in 0..60 {
-        match plan.record_fault(LinkFault::NoConnection, ClockMillis::ORIGIN, &mut random) {
+        match plan.record_error(
+            ReplicaCallError::NoConnection,
+            ClockMillis::ORIGIN,
+            &mut random,
+        ) {
             FailoverStep::Retry { pause, .. } => pauses.push(pause.millis()),
             FailoverStep::Fail(error) => panic!("there is time left: {error}"),
         }
@@ -95,26 +99,29 @@
     let addresses = addresses();
     let mut plan = FailoverPlan::new(&addresses[..1], 0, ClockMillis::new(u64::MAX));
     let mut random = SmallRng::seed_from_u64(1);
-    let fault = LinkFault::Refused(CallRefusal::Overloaded {
+    let error = ReplicaCallError::Refused(CallRefusal::Overloaded {
         retry_after_millis: 4_000,
     });
-    let step = plan.record_fault(fault, ClockMillis::ORIGIN, &mut random);
+    let step = plan.record_error(error, ClockMillis::ORIGIN, &mut random);
     assert!(matches!(step, FailoverStep::Retry { pause, .. } if pause.millis() >= 2_000));
 }
 
 #[rstest]
-#[case::never_sent(&[LinkFault::NoConnection, LinkFault::NoConnection], false)]
-#[case::timeout_last(&[LinkFault::NoConnection, LinkFault::NoAnswer], true)]
-#[case::timeout_first(&[LinkFault::NoAnswer, LinkFault::NoConnection], true)]
+#[case::never_sent(&[ReplicaCallError::NoConnection, ReplicaCallError::NoConnection], false)]
+#[case::timeout_last(&[ReplicaCallError::NoConnection, ReplicaCallError::NoAnswer], true)]
+#[case::timeout_first(&[ReplicaCallError::NoAnswer, ReplicaCallError::NoConnection], true)]
 #[case::timeout_then_no_quorum(
-    &[LinkFault::NoAnswer, LinkFault::Refused(CallRefusal::NoQuorum)],
+    &[ReplicaCallError::NoAnswer, ReplicaCallError::Refused(CallRefusal::NoQuorum)],
     true
 )]
-#[case::no_quorum(&[LinkFault::Refused(CallRefusal::NoQuorum)], false)]
-#[case::replica_reports_unknown_outcome(&[LinkFault::Refused(CallRefusal::OutcomeUnknown)], true)]
-#[case::proof_refused(&[LinkFault::ProofRefused], false)]
-fn one_lost_reply_leaves_the_outcome_unknown(#[case] faults: &[LinkFault], #[case] unknown: bool) {
-    let error = call_error(faults);
+#[case::no_quorum(&[ReplicaCallError::Refused(CallRefusal::NoQuorum)], false)]
+#[case::replica_reports_unknown_outcome(&[ReplicaCallError::Refused(CallRefusal::OutcomeUnknown)], true)]
+#[case::proof_refused(&[ReplicaCallError::ProofRefused], false)]
+fn one_lost_reply_leaves_the_outcome_unknown(
+    #[case] errors: &[ReplicaCallError],
+    #[case] unknown: bool,
+) {
+    let error = call_error(errors);
     let reported = matches!(error, ControlClientError::OutcomeUnknown { .. });
     assert_eq!(reported, unknown, "{error}");
 }
@@ -125,8 +132,8 @@
     let mut plan = FailoverPlan::new(&addresses, 0, DEADLINE);
     let mut random = SmallRng::seed_from_u64(1);
     let refusal = CallRefusal::StaleIncarnation;
-    let fault = LinkFault::Refused(refusal.clone());
-    let step = plan.record_fault(fault, ClockMillis::ORIGIN, &mut random);
+    let error = ReplicaCallError::Refused(refusal.clone());
+    let step = plan.record_error(error, ClockMillis::ORIGIN, &mut random);
     assert_eq!(
         step,
         FailoverStep::Fail(ControlClientError::Refused(refusal))
--- a/src/control/client/tests/unavailable.rs
+++ b/src/control/client/tests/unavailable.rs
@@ -6,7 +6,7 @@
 
 use crate::control::{
     api::{HeartbeatReceipt, HeartbeatRequest, StatusRequest},
-    client::{ControlClient, ControlClientError, LinkFault},
+    client::{ControlClient, ControlClientError, ReplicaCallError},
     server::tests::fixture::{TestReplica, announcement, test_secret},
 };
 
@@ -57,11 +57,11 @@
     let (listener, closed) = unresponsive_replica().await;
     drop(listener);
     let client = ControlClient::new(vec![closed], test_secret(7));
-    let last = LinkFault::NoConnection;
+    let last = ReplicaCallError::NoConnection;
     assert_eq!(client.status_at(closed).await, Err(last.clone()));
     let call = client.status().await;
     assert!(
-        matches!(&call, Err(ControlClientError::Unreachable { last: fault, .. }) if *fault == last)
+        matches!(&call, Err(ControlClientError::Unreachable { last: error, .. }) if *error == last)
     );
 }
 
@@ -70,7 +70,7 @@
     let replica = TestReplica::start();
     let client = ControlClient::new(vec![replica.address], test_secret(8));
     let refused = client.status_at(replica.address).await;
-    assert_eq!(refused, Err(LinkFault::ProofRefused));
+    assert_eq!(refused, Err(ReplicaCallError::ProofRefused));
 }
 
 #[test]
--- a/src/control/server/tests/overload.rs
+++ b/src/control/server/tests/overload.rs
@@ -3,7 +3,7 @@
 use super::fixture::{TestReplica, manifest, watch_after};
 use crate::control::{
     api::{CallRefusal, WatchScope},
-    client::LinkFault,
+    client::ReplicaCallError,
     server::CallLimiter,
 };
 
@@ -11,7 +11,8 @@
 async fn a_call_above_the_limit_is_refused_immediately() {
     let replica = TestReplica::with_limiter(CallLimiter::with_limits(0, 8));
     let refused = replica.client().status_at(replica.address).await;
-    let Err(LinkFault::Refused(CallRefusal::Overloaded { retry_after_millis })) = refused else {
+    let Err(ReplicaCallError::Refused(CallRefusal::Overloaded { retry_after_millis })) = refused
+    else {
         panic!("expected an overload, got {refused:?}");
     };
     assert!(retry_after_millis > 0);
--- a/tests/control_group/mod.rs
+++ b/tests/control_group/mod.rs
@@ -12,7 +12,7 @@
 use cyclamenrouter::{
     control::{
         api::{ApplyRequest, ControlStatus, ReplicaRole},
-        client::{ControlClient, ControlClientError, LinkFault},
+        client::{ControlClient, ControlClientError, ReplicaCallError},
     },
     manifest::Manifest,
     secret::{DeploymentSecret, SecretStore},
@@ -206,7 +206,7 @@
     }
 
     /// Returns the status that one replica reports.
-    pub async fn status_at(&self, index: usize) -> Result<ControlStatus, LinkFault> {
+    pub async fn status_at(&self, index: usize) -> Result<ControlStatus, ReplicaCallError> {
         let address = self.address(index);
         self.client(&[index]).status_at(address).await
     }
