--- a/src/agent/node/agent_node.rs
+++ b/src/agent/node/agent_node.rs
@@ -27,7 +27,7 @@
     },
     clock::{ClockMillis, SpanMillis},
     control::{
-        api::{AnnounceReceipt, AnnounceRequest, WatchScope, WatcherName},
+        api::{AnnounceReply, AnnounceRequest, WatchScope, WatcherName},
         client::ControlClient,
     },
     event::log_event,
@@ -87,9 +87,9 @@
             phase_receiver,
             committed,
         );
-        let receipt = renewer.announce().await;
+        let reply = renewer.announce().await;
         let identity = TargetIdentity {
-            service: receipt.service,
+            service: reply.service,
             target: announcement.target,
             incarnation: announcement.incarnation,
         };
@@ -151,7 +151,7 @@
         Ok(node
             .with_service_tasks(context)
             .with_peer_tasks(peers, peer_datagrams)
-            .with_control_tasks(renewer, receipt, committed_receiver))
+            .with_control_tasks(renewer, reply, committed_receiver))
     }
 
     /// Starts the tasks that serve callers, and the housekeeping.
@@ -190,7 +190,7 @@
     fn with_control_tasks(
         mut self,
         renewer: LeaseRenewer,
-        receipt: AnnounceReceipt,
+        reply: AnnounceReply,
         committed: watch::Receiver<TargetPhase>,
     ) -> Self {
         let route_watch = RouteWatch::new(
@@ -200,7 +200,7 @@
             WatchScope::Service(self.service.clone()),
             Arc::clone(&self.state),
         );
-        self.tasks.spawn(renewer.run(receipt));
+        self.tasks.spawn(renewer.run(reply));
         self.tasks.spawn(route_watch.run());
         self.tasks
             .spawn(report_commits(committed, self.drain.clone()));
--- a/src/agent/node/lease_renewer.rs
+++ b/src/agent/node/lease_renewer.rs
@@ -6,9 +6,7 @@
     agent::AgentEvent,
     clock::SpanMillis,
     control::{
-        api::{
-            AnnounceReceipt, AnnounceRequest, HeartbeatReceipt, HeartbeatRequest, WithdrawRequest,
-        },
+        api::{AnnounceReply, AnnounceRequest, HeartbeatReply, HeartbeatRequest, WithdrawRequest},
         client::ControlClient,
     },
     event::log_event,
@@ -47,15 +45,15 @@
     }
 
     /// Announces the target; retries until control accepts it.
-    pub(crate) async fn announce(&mut self) -> AnnounceReceipt {
+    pub(crate) async fn announce(&mut self) -> AnnounceReply {
         loop {
             self.announcement.phase = *self.phase.borrow_and_update();
             match self.client.announce(&self.announcement).await {
-                Ok(receipt) => {
+                Ok(reply) => {
                     let phase = self.announcement.phase;
-                    log_event!(info, AgentEvent::Announced, service = %receipt.service, ?phase);
+                    log_event!(info, AgentEvent::Announced, service = %reply.service, ?phase);
                     self.committed.send_replace(phase);
-                    return receipt;
+                    return reply;
                 }
                 Err(error) => {
                     log_event!(warn, AgentEvent::AnnounceFailed, %error);
@@ -66,9 +64,9 @@
     }
 
     /// Renews the lease and announces each change of the phase.
-    pub(crate) async fn run(mut self, receipt: AnnounceReceipt) {
-        let service = receipt.service;
-        let mut lease = receipt.lease;
+    pub(crate) async fn run(mut self, reply: AnnounceReply) {
+        let service = reply.service;
+        let mut lease = reply.lease;
         loop {
             let interval = SpanMillis::new(lease.millis() / HEARTBEATS_PER_LEASE);
             let is_changed = tokio::select! {
@@ -81,10 +79,10 @@
                 () = tokio::time::sleep(interval.duration()) => false,
             };
             if is_changed || !self.renew(&mut lease).await {
-                let receipt = self.announce().await;
-                lease = receipt.lease;
-                if receipt.service != service {
-                    log_event!(error, AgentEvent::Renumbered, service = %receipt.service);
+                let reply = self.announce().await;
+                lease = reply.lease;
+                if reply.service != service {
+                    log_event!(error, AgentEvent::Renumbered, service = %reply.service);
                 }
             }
         }
@@ -97,11 +95,11 @@
             incarnation: self.announcement.incarnation,
         };
         match self.client.heartbeat(&request).await {
-            Ok(HeartbeatReceipt::Renewed { span }) => {
+            Ok(HeartbeatReply::Renewed { span }) => {
                 *lease = span;
                 true
             }
-            Ok(HeartbeatReceipt::Unknown) => {
+            Ok(HeartbeatReply::Unknown) => {
                 log_event!(warn, AgentEvent::LeaseLost);
                 false
             }
--- a/src/cli/command/apply_command.rs
+++ b/src/cli/command/apply_command.rs
@@ -11,7 +11,7 @@
     },
     clock::{ClockMillis, ProcessClock, SpanMillis},
     control::{
-        api::{ApplyReceipt, ApplyRequest},
+        api::{ApplyReply, ApplyRequest},
         client::ControlClient,
     },
     key::FeedRevision,
@@ -64,7 +64,7 @@
 /// The result of applying a manifest.
 #[derive(Debug, Serialize)]
 struct ApplyReport {
-    accepted: ApplyReceipt,
+    accepted: ApplyReply,
     waited_millis: Option<u64>,
     in_force: Option<InForceReport>,
 }
@@ -88,7 +88,7 @@
         Ok(report.exit_status())
     }
 
-    async fn report(&self, client: &ControlClient, accepted: ApplyReceipt) -> ApplyReport {
+    async fn report(&self, client: &ControlClient, accepted: ApplyReply) -> ApplyReport {
         if !self.wait {
             return ApplyReport {
                 accepted,
--- a/src/control/api/announce_message.rs
+++ b/src/control/api/announce_message.rs
@@ -32,7 +32,7 @@
 
 /// Reply to `announce`; the registration is committed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AnnounceReceipt {
+pub struct AnnounceReply {
     /// The number of the service.
     pub service: ServiceNumber,
     /// The time after which the lease expires without a heartbeat.
--- a/src/control/api/apply_message.rs
+++ b/src/control/api/apply_message.rs
@@ -15,7 +15,7 @@
 
 /// Reply to `apply`; a majority has committed and synced the manifest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ApplyReceipt {
+pub struct ApplyReply {
     /// The accepted version.
     pub version: u64,
     /// The digest of the accepted content.
--- a/src/control/api/heartbeat_message.rs
+++ b/src/control/api/heartbeat_message.rs
@@ -18,7 +18,7 @@
 /// Reply to `heartbeat`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "lease")]
-pub enum HeartbeatReceipt {
+pub enum HeartbeatReply {
     /// The lease is renewed from now on.
     Renewed {
         /// The time after which the lease expires without a heartbeat.
--- a/src/control/client/control_client.rs
+++ b/src/control/client/control_client.rs
@@ -16,8 +16,8 @@
 use crate::{
     clock::{ProcessClock, SpanMillis},
     control::api::{
-        AnnounceReceipt, AnnounceRequest, ApplyReceipt, ApplyRequest, CallName, ControlDump,
-        ControlStatus, FeedReply, HeartbeatReceipt, HeartbeatRequest, StatusRequest, WatchRequest,
+        AnnounceReply, AnnounceRequest, ApplyReply, ApplyRequest, CallName, ControlDump,
+        ControlStatus, FeedReply, HeartbeatReply, HeartbeatRequest, StatusRequest, WatchRequest,
         WithdrawRequest,
     },
     key::FeedRevision,
@@ -104,7 +104,7 @@
     pub async fn announce(
         &self,
         request: &AnnounceRequest,
-    ) -> Result<AnnounceReceipt, ControlClientError> {
+    ) -> Result<AnnounceReply, ControlClientError> {
         self.call_leader(CallName::Announce, request).await
     }
 
@@ -128,7 +128,7 @@
     pub async fn heartbeat(
         &self,
         request: &HeartbeatRequest,
-    ) -> Result<HeartbeatReceipt, ControlClientError> {
+    ) -> Result<HeartbeatReply, ControlClientError> {
         self.call_leader(CallName::Heartbeat, request).await
     }
 
@@ -138,7 +138,7 @@
     ///
     /// Fails when the group refuses, is unreachable, or its reply is lost;
     /// after a lost reply the same manifest can be submitted again.
-    pub async fn apply(&self, request: &ApplyRequest) -> Result<ApplyReceipt, ControlClientError> {
+    pub async fn apply(&self, request: &ApplyRequest) -> Result<ApplyReply, ControlClientError> {
         let timeouts = CallTimeouts {
             attempt: APPLY_ATTEMPT_TIMEOUT_MILLIS,
             total: APPLY_TIMEOUT_MILLIS,
--- a/src/control/client/tests/unavailable.rs
+++ b/src/control/client/tests/unavailable.rs
@@ -5,7 +5,7 @@
 use tokio::net::TcpListener;
 
 use crate::control::{
-    api::{HeartbeatReceipt, HeartbeatRequest, StatusRequest},
+    api::{HeartbeatReply, HeartbeatRequest, StatusRequest},
     client::{ControlClient, ControlClientError, ReplicaCallError},
     server::tests::fixture::{TestReplica, announcement, test_secret},
 };
@@ -36,7 +36,7 @@
     let addresses = vec![unresponsive, replica.address];
     let client = ControlClient::new(addresses, replica.secret.clone());
     let answer = client.heartbeat(&heartbeat()).await;
-    assert_eq!(answer, Ok(HeartbeatReceipt::Unknown));
+    assert_eq!(answer, Ok(HeartbeatReply::Unknown));
     // The second call starts at the replica that answered.
     assert_eq!(client.known_leader(), Some(replica.address));
 }
--- a/src/control/server/control_service.rs
+++ b/src/control/server/control_service.rs
@@ -10,8 +10,8 @@
     clock::ProcessClock,
     control::{
         api::{
-            AnnounceReceipt, AnnounceRequest, ApplyReceipt, ApplyRequest, CallRefusal, ControlDump,
-            ControlStatus, DumpedService, HeartbeatReceipt, HeartbeatRequest, WithdrawRequest,
+            AnnounceReply, AnnounceRequest, ApplyReply, ApplyRequest, CallRefusal, ControlDump,
+            ControlStatus, DumpedService, HeartbeatReply, HeartbeatRequest, WithdrawRequest,
         },
         feed::WatcherTable,
         lease::{CountLeases, LEASE_MILLIS, LeaseManager, RenewLease},
@@ -74,10 +74,10 @@
     pub(crate) async fn announce(
         &self,
         request: AnnounceRequest,
-    ) -> Result<AnnounceReceipt, CallRefusal> {
+    ) -> Result<AnnounceReply, CallRefusal> {
         check_announce(&request)?;
         match self.propose(ControlCommand::Announce(request)).await? {
-            ControlOutcome::Announced { service, revision } => Ok(AnnounceReceipt {
+            ControlOutcome::Announced { service, revision } => Ok(AnnounceReply {
                 service,
                 lease: LEASE_MILLIS,
                 revision,
@@ -101,7 +101,7 @@
     pub(crate) async fn heartbeat(
         &self,
         request: HeartbeatRequest,
-    ) -> Result<HeartbeatReceipt, CallRefusal> {
+    ) -> Result<HeartbeatReply, CallRefusal> {
         if let LeaderView::Following { leader } = self.store.leader_view() {
             return Err(CallRefusal::NotLeader { leader });
         }
@@ -111,14 +111,14 @@
         };
         let renewed = self.leases.ask(renewal).await;
         if renewed.map_err(|_| CallRefusal::NoQuorum)? {
-            Ok(HeartbeatReceipt::Renewed { span: LEASE_MILLIS })
+            Ok(HeartbeatReply::Renewed { span: LEASE_MILLIS })
         } else {
-            Ok(HeartbeatReceipt::Unknown)
+            Ok(HeartbeatReply::Unknown)
         }
     }
 
     /// Puts a manifest in force.
-    pub(crate) async fn apply(&self, request: ApplyRequest) -> Result<ApplyReceipt, CallRefusal> {
+    pub(crate) async fn apply(&self, request: ApplyRequest) -> Result<ApplyReply, CallRefusal> {
         check_manifest(&request.manifest).map_err(|faults| CallRefusal::InvalidManifest {
             faults: faults.iter().map(ToString::to_string).collect(),
         })?;
@@ -126,7 +126,7 @@
             .propose(ControlCommand::Apply(request.manifest))
             .await?
         {
-            ControlOutcome::Applied(receipt) => Ok(receipt),
+            ControlOutcome::Applied(reply) => Ok(reply),
             outcome => Err(refusal_from(outcome)),
         }
     }
--- a/src/control/server/tests/calls.rs
+++ b/src/control/server/tests/calls.rs
@@ -2,7 +2,7 @@
 
 use super::fixture::{TestReplica, announcement, manifest};
 use crate::control::{
-    api::{CallRefusal, HeartbeatReceipt, HeartbeatRequest, WithdrawRequest},
+    api::{CallRefusal, HeartbeatReply, HeartbeatRequest, WithdrawRequest},
     client::ControlClientError,
 };
 
@@ -19,7 +19,7 @@
         incarnation: request.incarnation,
     };
     let renewed = client.heartbeat(&heartbeat).await.expect("answered");
-    assert!(matches!(renewed, HeartbeatReceipt::Renewed { .. }));
+    assert!(matches!(renewed, HeartbeatReply::Renewed { .. }));
     let withdrawal = WithdrawRequest {
         target: request.target,
         incarnation: request.incarnation,
@@ -49,7 +49,7 @@
         incarnation: announcement("barge", 1, 12).incarnation,
     };
     let answer = client.heartbeat(&heartbeat).await;
-    assert_eq!(answer, Ok(HeartbeatReceipt::Unknown));
+    assert_eq!(answer, Ok(HeartbeatReply::Unknown));
 }
 
 #[tokio::test]
--- a/src/control/state/control_outcome.rs
+++ b/src/control/state/control_outcome.rs
@@ -2,7 +2,7 @@
 
 use super::StateError;
 use crate::{
-    control::api::{ApplyReceipt, CallRefusal},
+    control::api::{ApplyReply, CallRefusal},
     key::{FeedRevision, ServiceNumber},
 };
 
@@ -11,7 +11,7 @@
 #[serde(rename_all = "snake_case")]
 pub(crate) enum ControlOutcome {
     /// The manifest was accepted.
-    Applied(ApplyReceipt),
+    Applied(ApplyReply),
     /// The target is registered.
     Announced {
         /// The number of its service.
--- a/src/control/state/control_state.rs
+++ b/src/control/state/control_state.rs
@@ -5,7 +5,7 @@
     StateTransition, manifest_state::ManifestCheck, registration_table::AnnounceEffect,
 };
 use crate::{
-    control::api::{AnnounceRequest, ApplyReceipt, CallRefusal, WithdrawRequest},
+    control::api::{AnnounceRequest, ApplyReply, CallRefusal, WithdrawRequest},
     key::{FeedRevision, IncarnationId, TargetKey},
     manifest::Manifest,
     route::RouteChange,
@@ -63,8 +63,8 @@
 
     fn apply_manifest(&mut self, manifest: Manifest) -> StateTransition {
         let digest = match self.manifest.check_offer(&manifest) {
-            ManifestCheck::Resent(receipt) => {
-                return StateTransition::unchanged(ControlOutcome::Applied(receipt));
+            ManifestCheck::Resent(reply) => {
+                return StateTransition::unchanged(ControlOutcome::Applied(reply));
             }
             ManifestCheck::Refused(refusal) => return refuse(refusal),
             ManifestCheck::New(digest) => digest,
@@ -83,13 +83,13 @@
             }
             changes.push(change);
         }
-        let receipt = ApplyReceipt {
+        let reply = ApplyReply {
             version,
             digest,
             revision,
             resent: false,
         };
-        StateTransition::changed(ControlOutcome::Applied(receipt), changes)
+        StateTransition::changed(ControlOutcome::Applied(reply), changes)
     }
 
     fn announce(&mut self, request: AnnounceRequest) -> StateTransition {
--- a/src/control/state/manifest_state.rs
+++ b/src/control/state/manifest_state.rs
@@ -4,7 +4,7 @@
 
 use super::{AcceptedVersion, AcceptedVersions, FeedChange};
 use crate::{
-    control::api::{ApplyReceipt, CallRefusal},
+    control::api::{ApplyReply, CallRefusal},
     key::{FeedRevision, ServiceNumber},
     manifest::{Manifest, ManifestDigest, ServiceSpec},
     route::{RouteChange, ServiceRoute},
@@ -23,7 +23,7 @@
 /// The result of checking an offered manifest against the accepted versions.
 pub(super) enum ManifestCheck {
     /// The same version with the same content was accepted before.
-    Resent(ApplyReceipt),
+    Resent(ApplyReply),
     /// It may replace the version in force; carries the digest of the offer.
     New(ManifestDigest),
     /// It conflicts with the version in force.
@@ -74,7 +74,7 @@
     pub(super) fn check_offer(&self, manifest: &Manifest) -> ManifestCheck {
         let digest = manifest.digest();
         if let Some(accepted) = self.versions.find(manifest.version, digest) {
-            return ManifestCheck::Resent(ApplyReceipt {
+            return ManifestCheck::Resent(ApplyReply {
                 version: accepted.version,
                 digest: accepted.digest,
                 revision: accepted.revision,
--- a/src/control/state/tests/manifest_rules.rs
+++ b/src/control/state/tests/manifest_rules.rs
@@ -46,14 +46,11 @@
     let mut state = ControlState::new();
     apply(&mut state, 1, 0, &["barge"]);
     apply(&mut state, 2, 1, &["barge", "logbook"]);
-    let ControlOutcome::Applied(receipt) = apply(&mut state, 1, 0, &["barge"]) else {
+    let ControlOutcome::Applied(reply) = apply(&mut state, 1, 0, &["barge"]) else {
         panic!("a resend succeeds");
     };
-    assert!(receipt.resent);
-    assert_eq!(
-        (receipt.revision.count(), state.manifest().version()),
-        (1, 2)
-    );
+    assert!(reply.resent);
+    assert_eq!((reply.revision.count(), state.manifest().version()), (1, 2));
 }
 
 #[test]
--- a/src/control/state/tests/sequences.rs
+++ b/src/control/state/tests/sequences.rs
@@ -7,7 +7,7 @@
 use super::generator::{SERVICE_NAMES, any_commands, fixed_cases};
 use crate::{
     control::{
-        api::ApplyReceipt,
+        api::ApplyReply,
         server::tests::fixture::manifest,
         state::{ControlCommand, ControlOutcome, ControlState, StateTransition},
     },
@@ -63,16 +63,16 @@
     #[test]
     fn a_resent_manifest_gets_its_first_receipt(commands in any_commands(60)) {
         let mut state = ControlState::new();
-        let mut accepted: Vec<(ControlCommand, ApplyReceipt)> = Vec::new();
+        let mut accepted: Vec<(ControlCommand, ApplyReply)> = Vec::new();
         for command in &commands {
-            if let ControlOutcome::Applied(receipt) = execute(&mut state, command).outcome
-                && !receipt.resent
+            if let ControlOutcome::Applied(reply) = execute(&mut state, command).outcome
+                && !reply.resent
             {
-                accepted.push((command.clone(), receipt));
+                accepted.push((command.clone(), reply));
             }
             for (command, first) in &accepted {
                 let again = execute(&mut state, command);
-                let resent = ApplyReceipt { resent: true, ..first.clone() };
+                let resent = ApplyReply { resent: true, ..first.clone() };
                 prop_assert_eq!(again.outcome, ControlOutcome::Applied(resent));
                 prop_assert!(!again.effective);
             }
@@ -84,9 +84,9 @@
         let mut state = ControlState::new();
         let mut contents = BTreeMap::new();
         for command in &commands {
-            if let ControlOutcome::Applied(receipt) = execute(&mut state, command).outcome {
-                let known = *contents.entry(receipt.version).or_insert(receipt.digest);
-                prop_assert_eq!(known, receipt.digest);
+            if let ControlOutcome::Applied(reply) = execute(&mut state, command).outcome {
+                let known = *contents.entry(reply.version).or_insert(reply.digest);
+                prop_assert_eq!(known, reply.digest);
             }
         }
     }
--- a/tests/control_group/mod.rs
+++ b/tests/control_group/mod.rs
@@ -255,12 +255,12 @@
     }
 }
 
-/// Applies a version with one call and checks the receipt.
+/// Applies a version with one call and checks the reply.
 pub async fn apply_once(client: &ControlClient, version: u64) -> Result<(), ControlClientError> {
     let manifest = manifest(version);
     let digest = manifest.digest();
-    let receipt = client.apply(&ApplyRequest { manifest }).await?;
-    assert_eq!((receipt.version, receipt.digest), (version, digest));
+    let reply = client.apply(&ApplyRequest { manifest }).await?;
+    assert_eq!((reply.version, reply.digest), (version, digest));
     Ok(())
 }
 
