--- a/src/cli/command/status_command.rs
+++ b/src/cli/command/status_command.rs
@@ -82,7 +82,7 @@
             writeln!(
                 formatter,
                 "replica {} {:?}, holds {} entries",
-                replica.address, replica.role, replica.held
+                replica.address, replica.role, replica.durable_index
             )?;
         }
         write!(formatter, "{}", self.manifest_in_force)
--- a/src/control/api/status_message.rs
+++ b/src/control/api/status_message.rs
@@ -44,7 +44,8 @@
     /// The replica's role in the group.
     pub role: ReplicaRole,
     /// The last log index that the replica holds durably.
-    pub held: u64,
+    #[serde(rename = "held")]
+    pub durable_index: u64,
 }
 
 /// A replica's role in the group.
--- a/src/control/replica_shell/replica_handle.rs
+++ b/src/control/replica_shell/replica_handle.rs
@@ -171,7 +171,7 @@
                         self.call_address(replica)?
                     },
                     role,
-                    held: member.match_index.number(),
+                    durable_index: member.match_index.number(),
                 })
             })
             .collect()
--- a/src/control/store/control_store.rs
+++ b/src/control/store/control_store.rs
@@ -72,7 +72,7 @@
             Self::Memory(store) => vec![ReplicaStatus {
                 address,
                 role: crate::control::api::ReplicaRole::Leader,
-                held: store.confirm_read().unwrap_or_default().count(),
+                durable_index: store.confirm_read().unwrap_or_default().count(),
             }],
             Self::Replicated(handle) => handle.replicas(address),
         }
