--- a/benches/control/load.rs
+++ b/benches/control/load.rs
@@ -5,7 +5,7 @@
 use cyclamenrouter::{
     clock::SpanMillis,
     control::api::{AnnounceRequest, ApplyRequest, WatchRequest, WatchScope, WatcherName},
-    key::{DomainName, FeedRevision, IncarnationId, TargetKey},
+    key::{FailureDomain, FeedRevision, IncarnationId, TargetKey},
     manifest::{Manifest, ServiceLimits, ServiceSpec},
     route::TargetPhase,
 };
@@ -53,7 +53,7 @@
         incarnation: IncarnationId::new(
             0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(u64::from(index) + 1),
         ),
-        domain: DomainName::new(
+        domain: FailureDomain::new(
             &format!("region-{}", domain_index / 3),
             &format!("domain-{domain_index:02}"),
         ),
@@ -69,7 +69,7 @@
 pub fn watch(index: u32, in_force: FeedRevision, wait: u64) -> WatchRequest {
     WatchRequest {
         watcher: WatcherName::Balancer(format!("balancer-{index:05}")),
-        domain: DomainName::new("region-0", "domain-00"),
+        domain: FailureDomain::new("region-0", "domain-00"),
         scope: WatchScope::All,
         in_force,
         wait: SpanMillis::new(wait),
--- a/src/agent/agent_settings.rs
+++ b/src/agent/agent_settings.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     clock::SpanMillis,
-    key::DomainName,
+    key::FailureDomain,
     program::LogFormat,
     settings::{SettingsCheck, SettingsError},
     tls::CertificateFiles,
@@ -23,7 +23,7 @@
     /// The agent's name, unique in the deployment.
     pub name: String,
     /// The failure domain of the agent and its upstream.
-    pub domain: DomainName,
+    pub domain: FailureDomain,
     /// The service of the manifest that the upstream belongs to.
     pub service: String,
     /// The HTTP/1.1 address of the upstream.
--- a/src/agent/node/agent_dump.rs
+++ b/src/agent/node/agent_dump.rs
@@ -9,7 +9,7 @@
         endpoint::TunnelTotals,
         relay::RequestCounts,
     },
-    key::{DomainName, IncarnationId},
+    key::{FailureDomain, IncarnationId},
 };
 
 /// The state of an agent, for a dump.
@@ -18,7 +18,7 @@
     /// The agent's name.
     pub name: String,
     /// The failure domain that it runs in.
-    pub domain: DomainName,
+    pub domain: FailureDomain,
     /// The name of its service.
     pub service: String,
     /// The service's number.
--- a/src/agent/node/agent_node.rs
+++ b/src/agent/node/agent_node.rs
@@ -31,7 +31,7 @@
         client::ControlClient,
     },
     event::log_event,
-    key::{DomainName, IncarnationId, TargetKey},
+    key::{FailureDomain, IncarnationId, TargetKey},
     manifest::{ServiceLimits, ServiceSpec},
     route::TargetPhase,
     secret::SecretStore,
@@ -51,7 +51,7 @@
 pub struct AgentNode {
     name: String,
     service: String,
-    domain: DomainName,
+    domain: FailureDomain,
     socket: Arc<TunnelSocket>,
     endpoint: Endpoint,
     load_gauge: Arc<LoadGauge>,
--- a/src/balancer/balancer_node.rs
+++ b/src/balancer/balancer_node.rs
@@ -17,7 +17,7 @@
         client::ControlClient,
     },
     event::log_event,
-    key::DomainName,
+    key::FailureDomain,
     route::RouteTable,
     secret::{SecretError, SecretStore},
     tunnel::{DatagramSocket, ReceiveBuffers},
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub struct BalancerNode {
     name: String,
-    domain: DomainName,
+    domain: FailureDomain,
     path: Arc<PacketPath>,
     listeners: Arc<ListenerSet>,
     state: Arc<WatchState>,
@@ -75,7 +75,7 @@
     /// The balancer's name.
     pub name: String,
     /// The region and failure domain that it runs in.
-    pub domain: DomainName,
+    pub domain: FailureDomain,
     /// The revision of its route table.
     pub revision: u64,
     /// The version of the manifest in force.
--- a/src/balancer/balancer_settings.rs
+++ b/src/balancer/balancer_settings.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    key::DomainName,
+    key::FailureDomain,
     program::LogFormat,
     settings::{SettingsCheck, SettingsError},
 };
@@ -21,7 +21,7 @@
     /// The balancer's name, unique in the deployment.
     pub name: String,
     /// The region and failure domain that the balancer runs in.
-    pub domain: DomainName,
+    pub domain: FailureDomain,
     /// The local address that receives callers' datagrams for every service port.
     ///
     /// If it is set, only the port identifies the service. If not, the balancer
--- a/src/balancer/tests/datagram_verdicts.rs
+++ b/src/balancer/tests/datagram_verdicts.rs
@@ -7,7 +7,7 @@
 use crate::{
     balancer::{DropCause, ForwardVerdict, decide_datagram},
     clock::SpanMillis,
-    key::{DomainName, FeedRevision, IncarnationId, ServiceNumber, TargetKey},
+    key::{FailureDomain, FeedRevision, IncarnationId, ServiceNumber, TargetKey},
     manifest::{ServiceLimits, ServiceSpec},
     route::{
         ConnectionRoute, RouteChange, RouteDelta, RouteSnapshot, RouteTable, ServiceRoute,
@@ -46,7 +46,7 @@
         key: TargetKey::new(key),
         service: ServiceNumber::new(u16::from(service)),
         incarnation: IncarnationId::new(u64::from(index)),
-        domain: DomainName::new(
+        domain: FailureDomain::new(
             "vestland",
             if index.is_multiple_of(2) {
                 "sund"
--- a/src/cli/tests/in_force.rs
+++ b/src/cli/tests/in_force.rs
@@ -5,7 +5,7 @@
 use crate::{
     cli::{GroupWatchers, InForceReport},
     control::api::{ControlStatus, WatcherName, WatcherStatus},
-    key::{DomainName, FeedRevision},
+    key::{FailureDomain, FeedRevision},
 };
 
 fn balancers_at(revisions: &[u64]) -> GroupWatchers {
@@ -36,7 +36,7 @@
 fn watcher(name: WatcherName, count: u64) -> WatcherStatus {
     WatcherStatus {
         name,
-        domain: DomainName::new("vestland", "sund"),
+        domain: FailureDomain::new("vestland", "sund"),
         in_force: FeedRevision::new(count),
         silent_millis: 40,
     }
--- a/src/control/api/announce_message.rs
+++ b/src/control/api/announce_message.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     clock::SpanMillis,
-    key::{DomainName, FeedRevision, IncarnationId, ServiceNumber, TargetKey},
+    key::{FailureDomain, FeedRevision, IncarnationId, ServiceNumber, TargetKey},
     route::TargetPhase,
 };
 
@@ -21,7 +21,7 @@
     /// The agent's current run.
     pub incarnation: IncarnationId,
     /// The region and failure domain that the target runs in.
-    pub domain: DomainName,
+    pub domain: FailureDomain,
     /// The address on which the agent serves other agents.
     pub peer_address: SocketAddrV4,
     /// The target's relative share of new connections; at least 1.
--- a/src/control/api/status_message.rs
+++ b/src/control/api/status_message.rs
@@ -4,7 +4,7 @@
 
 use super::WatcherName;
 use crate::{
-    key::{DomainName, FeedRevision},
+    key::{FailureDomain, FeedRevision},
     manifest::ManifestDigest,
 };
 
@@ -66,7 +66,7 @@
     /// The watcher's name from its settings.
     pub name: WatcherName,
     /// The region and failure domain that the watcher runs in.
-    pub domain: DomainName,
+    pub domain: FailureDomain,
     /// The revision in force at the watcher, from its last call.
     pub in_force: FeedRevision,
     /// The milliseconds since its last call.
--- a/src/control/api/watch_message.rs
+++ b/src/control/api/watch_message.rs
@@ -4,7 +4,7 @@
 use super::packed_routes::PackedRoutes;
 use crate::{
     clock::SpanMillis,
-    key::{DomainName, FeedRevision},
+    key::{FailureDomain, FeedRevision},
     route::{RouteDelta, RouteSnapshot},
 };
 
@@ -27,7 +27,7 @@
     /// The watcher's name.
     pub watcher: WatcherName,
     /// The region and failure domain that the watcher runs in.
-    pub domain: DomainName,
+    pub domain: FailureDomain,
     /// The part of the routes to watch.
     pub scope: WatchScope,
     /// The revision in force at the watcher.
--- a/src/control/control_settings.rs
+++ b/src/control/control_settings.rs
@@ -12,7 +12,7 @@
     replica_shell::{DiskFaultPolicy, PeerAddress, ReplicaOptions},
 };
 use crate::{
-    key::DomainName,
+    key::FailureDomain,
     program::LogFormat,
     settings::{SettingsCheck, SettingsError},
 };
@@ -29,7 +29,7 @@
     /// The replica's name.
     pub name: String,
     /// The region and failure domain that the replica runs in.
-    pub domain: DomainName,
+    pub domain: FailureDomain,
     /// The address on which the replica serves calls; port 0 selects a free port.
     pub listen: SocketAddrV4,
     /// This replica's number, unique in the group.
--- a/src/control/feed/tests/watchers.rs
+++ b/src/control/feed/tests/watchers.rs
@@ -7,7 +7,7 @@
         feed::{FeedNotifier, FeedScope, WatcherTable},
         state::FeedChange,
     },
-    key::{DomainName, FeedRevision, ServiceNumber},
+    key::{FailureDomain, FeedRevision, ServiceNumber},
     route::RouteChange,
 };
 
@@ -21,7 +21,7 @@
     revision: u64,
     now: u64,
 ) -> Result<(), CallRefusal> {
-    let domain = DomainName::new("vestland", "sund");
+    let domain = FailureDomain::new("vestland", "sund");
     let revision = FeedRevision::new(revision);
     table.record_call(&name(index), &domain, revision, ClockMillis::new(now))
 }
--- a/src/control/feed/watcher_table.rs
+++ b/src/control/feed/watcher_table.rs
@@ -4,7 +4,7 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     control::api::{CallRefusal, WatcherName, WatcherStatus},
-    key::{DomainName, FeedRevision},
+    key::{FailureDomain, FeedRevision},
 };
 
 /// The maximum number of watchers.
@@ -17,7 +17,7 @@
 /// The state of one watcher.
 #[derive(Debug)]
 struct WatcherRecord {
-    domain: DomainName,
+    domain: FailureDomain,
     in_force: FeedRevision,
     last_call_at: ClockMillis,
     budget: WatcherBudget,
@@ -61,7 +61,7 @@
     pub(crate) fn record_call(
         &mut self,
         name: &WatcherName,
-        domain: &DomainName,
+        domain: &FailureDomain,
         in_force: FeedRevision,
         now: ClockMillis,
     ) -> Result<(), CallRefusal> {
--- a/src/control/server/announce_check.rs
+++ b/src/control/server/announce_check.rs
@@ -1,6 +1,6 @@
 use crate::{
     control::api::{AnnounceFault, AnnounceRequest, CallRefusal},
-    key::DomainName,
+    key::FailureDomain,
 };
 
 /// The maximum length of a region's or failure domain's name.
@@ -21,7 +21,7 @@
     Err(CallRefusal::InvalidAnnouncement { fault })
 }
 
-fn has_valid_length(domain: &DomainName) -> bool {
+fn has_valid_length(domain: &FailureDomain) -> bool {
     let names = [&domain.region, &domain.failure_domain];
     names
         .iter()
--- a/src/control/server/tests/fixture.rs
+++ b/src/control/server/tests/fixture.rs
@@ -11,7 +11,7 @@
         server::{CallLimiter, ControlServer, ControlService},
         store::{ControlStore, MemoryStore, StateHandle},
     },
-    key::{DomainName, FeedRevision, IncarnationId, TargetKey},
+    key::{FailureDomain, FeedRevision, IncarnationId, TargetKey},
     manifest::{Manifest, ServiceLimits, ServiceSpec},
     route::TargetPhase,
     secret::{DeploymentSecret, SecretStore},
@@ -89,7 +89,7 @@
         service: service.to_owned(),
         target: TargetKey::new(target),
         incarnation: IncarnationId::new(run),
-        domain: DomainName::new("vestland", "fjord-a"),
+        domain: FailureDomain::new("vestland", "fjord-a"),
         peer_address: SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, host), 7_001),
         weight: 1,
         phase: TargetPhase::Serving,
@@ -99,7 +99,7 @@
 pub(crate) fn watch_after(revision: u64, scope: WatchScope, wait: u64) -> WatchRequest {
     WatchRequest {
         watcher: WatcherName::Balancer("balancer-1".to_owned()),
-        domain: DomainName::new("vestland", "sund"),
+        domain: FailureDomain::new("vestland", "sund"),
         scope,
         in_force: FeedRevision::new(revision),
         wait: SpanMillis::new(wait),
--- a/src/demo/demo_site.rs
+++ b/src/demo/demo_site.rs
@@ -16,7 +16,7 @@
     balancer::{BalancerNode, BalancerSettings},
     clock::SpanMillis,
     control::{ControlSettings, PeerSettings, client::ControlClient, run_control},
-    key::DomainName,
+    key::FailureDomain,
     manifest::Manifest,
     program::LogFormat,
     secret::{DeploymentSecret, SecretStore},
@@ -237,8 +237,8 @@
     FIRST_PORT + u16::try_from(index).unwrap_or_default()
 }
 
-fn domain(index: u8) -> DomainName {
-    DomainName::new(REGION, DOMAINS[usize::from(index) % DOMAINS.len()])
+fn domain(index: u8) -> FailureDomain {
+    FailureDomain::new(REGION, DOMAINS[usize::from(index) % DOMAINS.len()])
 }
 
 fn preparing(what: &'static str) -> impl Fn(io::Error) -> DemoError {
--- a/src/key/mod.rs
+++ b/src/key/mod.rs
@@ -1,12 +1,12 @@
 //! Identifiers of services, targets, agent runs, feed revisions and failure domains.
 
-mod domain_name;
+mod failure_domain;
 mod feed_revision;
 mod incarnation_id;
 mod service_number;
 mod target_key;
 
-pub use domain_name::DomainName;
+pub use failure_domain::FailureDomain;
 pub use feed_revision::FeedRevision;
 pub use incarnation_id::IncarnationId;
 pub use service_number::ServiceNumber;
--- a/src/lab/cost/sample_routes.rs
+++ b/src/lab/cost/sample_routes.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     clock::SpanMillis,
-    key::{DomainName, FeedRevision, IncarnationId, ServiceNumber, TargetKey},
+    key::{FailureDomain, FeedRevision, IncarnationId, ServiceNumber, TargetKey},
     manifest::{ServiceLimits, ServiceSpec},
     route::{RouteChange, RouteDelta, RouteSnapshot, ServiceRoute, TargetPhase, TargetRoute},
 };
@@ -46,7 +46,7 @@
         key: TargetKey::new(key),
         service: ServiceNumber::new(service as u16),
         incarnation: IncarnationId::new(mix_bits(index as u64 ^ run << 32)),
-        domain: DomainName::new(
+        domain: FailureDomain::new(
             &format!("region-{}", domain % REGIONS),
             &format!("domain-{domain}"),
         ),
--- a/src/route/route_table.rs
+++ b/src/route/route_table.rs
@@ -8,9 +8,9 @@
     RouteChange, RouteDelta, RouteError, RouteSnapshot, ServicePool, ServiceRoute, TargetEntry,
     TargetRoute,
 };
-use crate::key::{DomainName, FeedRevision, ServiceNumber, TargetKey};
+use crate::key::{FailureDomain, FeedRevision, ServiceNumber, TargetKey};
 
-type TargetsByDomain = BTreeMap<Arc<DomainName>, BTreeMap<TargetKey, TargetEntry>>;
+type TargetsByDomain = BTreeMap<Arc<FailureDomain>, BTreeMap<TargetKey, TargetEntry>>;
 
 /// All routes at one revision; the packet path reads it, the feed replaces it.
 ///
@@ -22,8 +22,8 @@
     services_by_address: HashMap<SocketAddrV4, ServiceNumber>,
     pools: HashMap<ServiceNumber, Arc<ServicePool>>,
     service_targets: HashMap<ServiceNumber, Arc<TargetsByDomain>>,
-    target_locations: HashMap<TargetKey, (ServiceNumber, Arc<DomainName>)>,
-    interned_domains: HashSet<Arc<DomainName>>,
+    target_locations: HashMap<TargetKey, (ServiceNumber, Arc<FailureDomain>)>,
+    interned_domains: HashSet<Arc<FailureDomain>>,
 }
 
 impl RouteTable {
@@ -66,7 +66,7 @@
     pub fn targets(
         &self,
         service: ServiceNumber,
-    ) -> impl Iterator<Item = (&DomainName, &TargetEntry)> {
+    ) -> impl Iterator<Item = (&FailureDomain, &TargetEntry)> {
         self.service_targets
             .get(&service)
             .into_iter()
@@ -220,7 +220,7 @@
         }
     }
 
-    fn intern_domain(&mut self, name: &DomainName) -> Arc<DomainName> {
+    fn intern_domain(&mut self, name: &FailureDomain) -> Arc<FailureDomain> {
         if let Some(domain) = self.interned_domains.get(name) {
             return Arc::clone(domain);
         }
--- a/src/route/service_pool.rs
+++ b/src/route/service_pool.rs
@@ -6,7 +6,7 @@
     MAX_CHAIN_LENGTH, ServiceRoute, TargetChain, TargetEntry,
     target_group::{TargetGroup, rendezvous_score},
 };
-use crate::key::{DomainName, TargetKey};
+use crate::key::{FailureDomain, TargetKey};
 
 /// A service with its targets, indexed for choosing candidates.
 #[derive(Debug, Clone)]
@@ -28,7 +28,7 @@
     #[must_use]
     pub fn new(
         route: Arc<ServiceRoute>,
-        targets_by_domain: &BTreeMap<Arc<DomainName>, BTreeMap<TargetKey, TargetEntry>>,
+        targets_by_domain: &BTreeMap<Arc<FailureDomain>, BTreeMap<TargetKey, TargetEntry>>,
     ) -> Self {
         let domains = targets_by_domain
             .iter()
@@ -101,7 +101,7 @@
     }
 }
 
-fn domain_id(domain: &DomainName) -> u64 {
+fn domain_id(domain: &FailureDomain) -> u64 {
     let region = xxh3_64(domain.region.as_bytes());
     xxh3_64_with_seed(domain.failure_domain.as_bytes(), region)
 }
--- a/src/route/target_route.rs
+++ b/src/route/target_route.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::key::{DomainName, IncarnationId, ServiceNumber, TargetKey};
+use crate::key::{FailureDomain, IncarnationId, ServiceNumber, TargetKey};
 
 /// A registered target, as control sends it to balancers and agents.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -14,7 +14,7 @@
     /// The incarnation of the agent that registered.
     pub incarnation: IncarnationId,
     /// The region and failure domain that the target runs in.
-    pub domain: DomainName,
+    pub domain: FailureDomain,
     /// The address at which other agents reach this agent.
     pub peer_address: SocketAddrV4,
     /// The weight for new connections, relative to other targets; at least 1.
--- a/src/route/tests/sample_routes.rs
+++ b/src/route/tests/sample_routes.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     clock::SpanMillis,
-    key::{DomainName, FeedRevision, IncarnationId, ServiceNumber, TargetKey},
+    key::{FailureDomain, FeedRevision, IncarnationId, ServiceNumber, TargetKey},
     manifest::{ServiceLimits, ServiceSpec},
     route::{RouteSnapshot, ServiceRoute, TargetPhase, TargetRoute},
 };
@@ -29,7 +29,7 @@
         key: TargetKey::new(SocketAddrV4::new(ip, 4_000)),
         service: ServiceNumber::new(service),
         incarnation: IncarnationId::new(u64::from(index) + 1),
-        domain: DomainName::new("vestland", domain),
+        domain: FailureDomain::new("vestland", domain),
         peer_address: SocketAddrV4::new(ip, 4_001),
         weight: 1,
         phase: TargetPhase::Serving,
--- a/src/watch/route_watch.rs
+++ b/src/watch/route_watch.rs
@@ -14,7 +14,7 @@
         client::ControlClient,
     },
     event::log_event,
-    key::{DomainName, FeedRevision},
+    key::{FailureDomain, FeedRevision},
     route::{RouteError, RouteTable},
 };
 
@@ -74,7 +74,7 @@
 pub(crate) struct RouteWatch {
     client: ControlClient,
     watcher: WatcherName,
-    domain: DomainName,
+    domain: FailureDomain,
     scope: WatchScope,
     state: Arc<WatchState>,
 }
@@ -84,7 +84,7 @@
     pub(crate) fn new(
         client: ControlClient,
         watcher: WatcherName,
-        domain: DomainName,
+        domain: FailureDomain,
         scope: WatchScope,
         state: Arc<WatchState>,
     ) -> Self {
--- a/tests/control_durability.rs
+++ b/tests/control_durability.rs
@@ -9,7 +9,7 @@
 };
 use cyclamenrouter::{
     control::{api::AnnounceRequest, client::ControlClient},
-    key::{DomainName, IncarnationId, TargetKey},
+    key::{FailureDomain, IncarnationId, TargetKey},
     route::TargetPhase,
 };
 use hdrhistogram::Histogram;
@@ -269,7 +269,7 @@
         service: "service-1".to_owned(),
         target: TargetKey::new(SocketAddrV4::new([198, 51, 100, caller].into(), 4433)),
         incarnation: IncarnationId::random(),
-        domain: DomainName::new("vestland", "fjord-a"),
+        domain: FailureDomain::new("vestland", "fjord-a"),
         peer_address: SocketAddrV4::new([198, 51, 100, caller].into(), 4434),
         weight: 1,
         phase: TargetPhase::Serving,
