--- a/src/agent/slot/slot_queue.rs
+++ b/src/agent/slot/slot_queue.rs
@@ -187,7 +187,7 @@
             .filter(|other| *other <= priority)
             .map(|other| {
                 let count = self.waiting.own_len(other) as u64;
-                self.service_time.mean(other).times(count).millis()
+                self.service_time.mean(other).saturating_mul(count).millis()
             })
             .sum();
         let running: u64 = self
--- a/src/clock/span_millis.rs
+++ b/src/clock/span_millis.rs
@@ -40,19 +40,19 @@
 
     /// Multiplies the span by `factor`, saturating at the maximum.
     #[must_use]
-    pub const fn times(self, factor: u64) -> Self {
+    pub const fn saturating_mul(self, factor: u64) -> Self {
         Self(self.0.saturating_mul(factor))
     }
 
     /// Adds both spans, saturating at the maximum.
     #[must_use]
-    pub const fn plus(self, other: Self) -> Self {
+    pub const fn saturating_add(self, other: Self) -> Self {
         Self(self.0.saturating_add(other.0))
     }
 
     /// Subtracts `other`, saturating at zero.
     #[must_use]
-    pub const fn less(self, other: Self) -> Self {
+    pub const fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 }
--- a/src/control/client/failover_plan.rs
+++ b/src/control/client/failover_plan.rs
@@ -112,7 +112,7 @@
         if full_rounds == 0 && retry_after == 0 {
             return SpanMillis::ZERO;
         }
-        let doubled = BACKOFF_MILLIS.times(1 << full_rounds.saturating_sub(1).min(8));
+        let doubled = BACKOFF_MILLIS.saturating_mul(1 << full_rounds.saturating_sub(1).min(8));
         let max_pause = doubled.min(MAX_BACKOFF_MILLIS).millis().max(retry_after);
         SpanMillis::new(random.random_range(max_pause / 2..=max_pause))
     }
--- a/src/control/replica/tests/open_group.rs
+++ b/src/control/replica/tests/open_group.rs
@@ -51,7 +51,7 @@
     simulator.crash(crashed, 0);
     simulator.add_replicas(1);
     simulator.crash(crashed, 0);
-    simulator.run(SETTLE_MILLIS.times(2));
+    simulator.run(SETTLE_MILLIS.saturating_mul(2));
     assert_eq!(voters(&simulator), 3);
     // The new replica is a voter, so the group tolerates another lost member.
     let next_crashed = (0..3).find(|node| *node != crashed && Some(*node) != simulator.leader());
@@ -65,7 +65,7 @@
 fn a_silent_voter_is_not_removed_below_the_minimum_of_voters() {
     let (mut simulator, leader) = start(3, 3);
     simulator.isolate((leader + 1) % 3);
-    simulator.run(SETTLE_MILLIS.times(3));
+    simulator.run(SETTLE_MILLIS.saturating_mul(3));
     assert_eq!(voters(&simulator), 3);
 }
 
@@ -74,11 +74,11 @@
     let (mut simulator, leader) = start(5, 3);
     let partitioned = (leader + 1) % 5;
     simulator.isolate(partitioned);
-    simulator.run(SETTLE_MILLIS.times(2));
+    simulator.run(SETTLE_MILLIS.saturating_mul(2));
     assert_eq!(voters(&simulator), 4);
     commit_change(&mut simulator);
     simulator.heal();
-    simulator.run(SETTLE_MILLIS.times(2));
+    simulator.run(SETTLE_MILLIS.saturating_mul(2));
     assert_eq!(voters(&simulator), 5);
     simulator.assert_applied_all_acknowledged(partitioned);
 }
--- a/src/control/replica_link/link_sender.rs
+++ b/src/control/replica_link/link_sender.rs
@@ -96,7 +96,7 @@
                 Err(_) => {}
             }
             sleep(backoff.duration()).await;
-            backoff = backoff.times(2).min(MAX_BACKOFF_MILLIS);
+            backoff = backoff.saturating_mul(2).min(MAX_BACKOFF_MILLIS);
             // Messages queued for the old connection are out of date.
             while self.messages.try_recv().is_ok() {}
         }
--- a/src/fleet/entry_node.rs
+++ b/src/fleet/entry_node.rs
@@ -214,7 +214,7 @@
         if let Some(replica) = self.replica.clone() {
             tokio::spawn(async move { replica.transfer_leadership().await });
         }
-        let longest = self.settings.grace.less(SpanMillis::new(1_500));
+        let longest = self.settings.grace.saturating_sub(SpanMillis::new(1_500));
         Instant::now() + STOP_DELAY_MILLIS.min(longest).duration()
     }
 
--- a/src/fleet/entry_packets.rs
+++ b/src/fleet/entry_packets.rs
@@ -45,7 +45,7 @@
                 return;
             }
         };
-        packet.age = packet.age.plus(parked_for);
+        packet.age = packet.age.saturating_add(parked_for);
         match self.flows.handle_packet(&packet, bytes, now) {
             FlowVerdict::Forward { to, header } => {
                 self.log_forward(&packet, to, &header, now);
--- a/src/fleet/target_tracker.rs
+++ b/src/fleet/target_tracker.rs
@@ -43,7 +43,7 @@
     pub(crate) fn new(heartbeat: SpanMillis, now: ClockMillis) -> Self {
         Self {
             heartbeat,
-            max_silence: heartbeat.times(MISSED_ANNOUNCEMENTS),
+            max_silence: heartbeat.saturating_mul(MISSED_ANNOUNCEMENTS),
             latest_notice: None,
             ended: false,
             heard_at: now,
@@ -124,7 +124,7 @@
     pub(crate) fn stale_flows_before(&self, now: ClockMillis) -> ClockMillis {
         let is_over = self.ended || self.absent;
         let announced_for = match &self.latest_notice {
-            Some(notice) if !is_over => self.heartbeat.times(notice.sequence),
+            Some(notice) if !is_over => self.heartbeat.saturating_mul(notice.sequence),
             _ => SpanMillis::ZERO,
         };
         let longest_run = SpanMillis::new(
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -34,7 +34,7 @@
 }
 
 fn after(heartbeats: u64) -> ClockMillis {
-    START.after(HEARTBEAT.times(heartbeats))
+    START.after(HEARTBEAT.saturating_mul(heartbeats))
 }
 
 #[test]
@@ -121,7 +121,7 @@
     let once = now.since(tracker.stale_flows_before(now));
     assert_eq!(once, SpanMillis::new(1_000 + HEARTBEAT.millis()));
     tracker.apply_notice(notice("i-1", 50, 9, TargetState::Ready), now);
-    assert!(now.since(tracker.stale_flows_before(now)) >= HEARTBEAT.times(9));
+    assert!(now.since(tracker.stale_flows_before(now)) >= HEARTBEAT.saturating_mul(9));
     // A target that is gone holds no flows, however long it had run.
     tracker.note_presence(false, now);
     let gone = now.since(tracker.stale_flows_before(now));
--- a/src/fleet/watch_client.rs
+++ b/src/fleet/watch_client.rs
@@ -23,7 +23,7 @@
 /// The delay between the connection attempts to successive replicas.
 const CONNECT_STAGGER_MILLIS: SpanMillis = SpanMillis::new(20);
 /// How long a reply may take, which the server may hold for `LONG_POLL_MILLIS`.
-const REPLY_TIMEOUT_MILLIS: SpanMillis = LONG_POLL_MILLIS.times(2);
+const REPLY_TIMEOUT_MILLIS: SpanMillis = LONG_POLL_MILLIS.saturating_mul(2);
 /// The pause before the replicas are tried again, and between polls while the
 /// directory has not settled.
 const RETRY_PAUSE_MILLIS: SpanMillis = SpanMillis::new(50);
@@ -111,7 +111,7 @@
                 let stream = timeout(CONNECT_TIMEOUT_MILLIS.duration(), connect).await;
                 Some((replica, stream.ok()?.ok()?))
             });
-            delay = delay.plus(CONNECT_STAGGER_MILLIS);
+            delay = delay.saturating_add(CONNECT_STAGGER_MILLIS);
         }
         loop {
             tokio::select! {
--- a/src/flow/opening_queue.rs
+++ b/src/flow/opening_queue.rs
@@ -94,6 +94,6 @@
 fn priority_key(opening: &PendingOpening, now: ClockMillis) -> (bool, u8, Reverse<ClockMillis>) {
     let urgency = opening.header.urgency;
     let age = now.since(opening.first_sent_at);
-    let late = age.times(GOAL_AGE_DIVISOR) > urgency.goal;
+    let late = age.saturating_mul(GOAL_AGE_DIVISOR) > urgency.goal;
     (late, urgency.rank, Reverse(opening.first_sent_at))
 }
