--- a/src/agent/relay/coordinator_tickets.rs
+++ b/src/agent/relay/coordinator_tickets.rs
@@ -86,6 +86,6 @@
     /// Takes over the ticket ledger of a leaving peer.
     pub(super) fn take_over(&self, handover: LedgerHandover) {
         let now = self.now();
-        self.lock().handovers.take_over(handover, now);
+        self.lock().handovers.insert(handover, now);
     }
 }
--- a/src/agent/relay/request_server.rs
+++ b/src/agent/relay/request_server.rs
@@ -10,7 +10,7 @@
     agent::{
         outcome::{FinalAnswer, NotRunCause},
         request::{CallerDeparture, ProfileError, RequestKind, RequestProfile},
-        ticket::{RequestFingerprint, RunKey, SealedTicket, TicketVerdict, choose_heirs},
+        ticket::{RequestFingerprint, RunKey, SealedTicket, TicketVerdict, choose_successors},
     },
     clock::{ClockMillis, SpanMillis},
     key::TargetKey,
@@ -291,6 +291,6 @@
         .find(|entry| entry.key == ticket.home && entry.incarnation == ticket.incarnation);
     match home {
         Some(entry) => vec![entry.key],
-        None => choose_heirs(ticket.incarnation, peers.iter().map(|entry| entry.key)),
+        None => choose_successors(ticket.incarnation, peers.iter().map(|entry| entry.key)),
     }
 }
--- a/src/agent/relay/ticket_handover.rs
+++ b/src/agent/relay/ticket_handover.rs
@@ -9,7 +9,7 @@
 
 use super::{PeerHead, PeerPurpose, RequestCoordinator};
 use crate::{
-    agent::{AgentEvent, ticket::choose_heirs},
+    agent::{AgentEvent, ticket::choose_successors},
     event::log_event,
     key::TargetKey,
     route::TargetPhase,
@@ -49,7 +49,7 @@
         .iter()
         .filter(|entry| entry.phase != TargetPhase::Leaving)
         .map(|entry| entry.key);
-    choose_heirs(identity.incarnation, staying)
+    choose_successors(identity.incarnation, staying)
 }
 
 async fn send_handover(
--- a/src/agent/request/tests/at_most_once.rs
+++ b/src/agent/request/tests/at_most_once.rs
@@ -20,7 +20,7 @@
         slot::SlotKey,
         tests::fixed_cases,
         ticket::{
-            DetachVerdict, HeirStore, KeptOutcome, LedgerLimits, RequestFingerprint, RunKey,
+            DetachVerdict, HandoverStore, KeptOutcome, LedgerLimits, RequestFingerprint, RunKey,
             RunOutcome, SealedTicket, TicketLedger, TicketVerdict,
         },
     },
@@ -69,7 +69,7 @@
 struct Agent {
     incarnation: IncarnationId,
     ledger: TicketLedger,
-    handed_over: HeirStore,
+    handed_over: HandoverStore,
     run: Option<Run>,
 }
 
@@ -98,7 +98,7 @@
     Agent {
         incarnation,
         ledger: TicketLedger::new(target(index), service, incarnation, limits),
-        handed_over: HeirStore::default(),
+        handed_over: HandoverStore::default(),
         run: None,
     }
 }
@@ -156,7 +156,7 @@
             return;
         }
         let handover = self.agents[from].ledger.hand_over(self.now);
-        self.agents[to].handed_over.take_over(handover, self.now);
+        self.agents[to].handed_over.insert(handover, self.now);
         self.restart(from);
     }
 
--- a/src/agent/ticket/heir_store.rs
+++ b/src/agent/ticket/handover_store.rs
@@ -46,13 +46,13 @@
 
 /// Ledgers handed over by leaving peers, to answer requests with their tickets.
 #[derive(Debug, Default)]
-pub(crate) struct HeirStore {
+pub(crate) struct HandoverStore {
     ledgers: HashMap<IncarnationId, StoredLedger>,
 }
 
-impl HeirStore {
+impl HandoverStore {
     /// Stores a peer's ledger; evicts the one that expires first when full.
-    pub(crate) fn take_over(&mut self, handover: LedgerHandover, now: ClockMillis) {
+    pub(crate) fn insert(&mut self, handover: LedgerHandover, now: ClockMillis) {
         self.expire(now);
         if self.ledgers.len() >= MAX_LEDGERS {
             self.evict_first_expiring();
@@ -135,7 +135,7 @@
 /// Chooses the peers that answer for an agent that has left, by rendezvous hashing.
 ///
 /// Agents that know the same peers choose the same ones in the same order.
-pub(crate) fn choose_heirs(
+pub(crate) fn choose_successors(
     incarnation: IncarnationId,
     peers: impl Iterator<Item = TargetKey>,
 ) -> Vec<TargetKey> {
--- a/src/agent/ticket/mod.rs
+++ b/src/agent/ticket/mod.rs
@@ -1,6 +1,6 @@
 //! Idempotency tickets: keys under which a request runs at most once.
 
-mod heir_store;
+mod handover_store;
 mod kept_outcome;
 mod ledger_entry;
 mod ledger_handover;
@@ -8,7 +8,7 @@
 mod ticket_ledger;
 mod ticket_verdict;
 
-pub(crate) use heir_store::{HeirStore, choose_heirs};
+pub(crate) use handover_store::{HandoverStore, choose_successors};
 pub(crate) use kept_outcome::{KeptHeader, KeptOutcome};
 pub(crate) use ledger_entry::{RequestFingerprint, RunOutcome};
 pub(crate) use ledger_handover::{HandoverState, HandoverTicket, LedgerHandover};
--- a/src/agent/ticket/tests.rs
+++ b/src/agent/ticket/tests.rs
@@ -9,8 +9,8 @@
 use rstest::rstest;
 
 use super::{
-    DetachVerdict, HeirStore, KeptOutcome, LedgerLimits, RequestFingerprint, RunKey, RunOutcome,
-    SealedTicket, TicketError, TicketLedger, TicketVerdict, choose_heirs,
+    DetachVerdict, HandoverStore, KeptOutcome, LedgerLimits, RequestFingerprint, RunKey,
+    RunOutcome, SealedTicket, TicketError, TicketLedger, TicketVerdict, choose_successors,
 };
 use crate::{
     agent::{
@@ -248,10 +248,10 @@
     let closed = present(&mut ledger, &tickets[2], NOW);
     assert_eq!(closed, TicketVerdict::Answer(FinalAnswer::TicketNeeded));
 
-    let mut successors = HeirStore::default();
+    let mut store = HandoverStore::default();
     let before = SealedTicket::open(&tickets[0], &key_ring(1)).expect("sealed");
-    assert_eq!(successors.present(before, fingerprint(), NOW), None);
-    successors.take_over(handover, ClockMillis::new(50));
+    assert_eq!(store.present(before, fingerprint(), NOW), None);
+    store.insert(handover, ClockMillis::new(50));
     let expected = [
         TicketVerdict::Replay(answer(5).into()),
         TicketVerdict::Answer(FinalAnswer::OutcomeUnknown),
@@ -259,18 +259,15 @@
     ];
     for (text, verdict) in tickets.iter().zip(expected) {
         let ticket = SealedTicket::open(text, &key_ring(1)).expect("sealed");
-        assert_eq!(
-            successors.present(ticket, fingerprint(), NOW),
-            Some(verdict)
-        );
+        assert_eq!(store.present(ticket, fingerprint(), NOW), Some(verdict));
     }
 }
 
 #[test]
 fn agents_agree_on_the_successors() {
     let incarnation = IncarnationId::new(99);
-    let forward = choose_heirs(incarnation, (1..8).map(target));
-    let backward = choose_heirs(incarnation, (1..8).rev().map(target));
+    let forward = choose_successors(incarnation, (1..8).map(target));
+    let backward = choose_successors(incarnation, (1..8).rev().map(target));
     assert_eq!(forward, backward);
     assert_eq!(forward.len(), 2);
 }
