--- a/src/agent/relay/coordinator_tickets.rs
+++ b/src/agent/relay/coordinator_tickets.rs
@@ -52,14 +52,14 @@
     pub(super) fn detach_runner(&self, run: RunKey, departure: CallerDeparture) -> CallerDeparture {
         match self.lock().ledger.detach(run) {
             DetachVerdict::OthersWait => CallerDeparture::OthersWait,
-            DetachVerdict::NobodyWaits => departure,
+            DetachVerdict::NoCallerWaits => departure,
         }
     }
 
     /// Detaches a waiting caller; signals the run if it was the last one.
     pub(super) fn detach_waiter(&self, run: RunKey, departure: CallerDeparture) {
         let mut state = self.lock();
-        if state.ledger.detach(run) == DetachVerdict::NobodyWaits
+        if state.ledger.detach(run) == DetachVerdict::NoCallerWaits
             && let Some(sender) = state.run_watchers.remove(run)
         {
             // The send fails if the run has just ended.
--- a/src/agent/request/tests/at_most_once.rs
+++ b/src/agent/request/tests/at_most_once.rs
@@ -224,8 +224,8 @@
         let key = run.key;
         let departure = match (self.agents[at].ledger.detach(key), cancel) {
             (DetachVerdict::OthersWait, _) => CallerDeparture::OthersWait,
-            (DetachVerdict::NobodyWaits, true) => CallerDeparture::Cancelled,
-            (DetachVerdict::NobodyWaits, false) => CallerDeparture::Lost,
+            (DetachVerdict::NoCallerWaits, true) => CallerDeparture::Cancelled,
+            (DetachVerdict::NoCallerWaits, false) => CallerDeparture::Lost,
         };
         self.handle(at, RequestEvent::CallerLeft(departure));
     }
--- a/src/agent/ticket/tests.rs
+++ b/src/agent/ticket/tests.rs
@@ -102,7 +102,7 @@
     let mut ledger = ledger(LedgerLimits::DEFAULT);
     let ticket = ledger.mint(&key_ring(1), NOW);
     let run = begin(&mut ledger, &ticket, NOW);
-    assert_eq!(ledger.detach(run), DetachVerdict::NobodyWaits);
+    assert_eq!(ledger.detach(run), DetachVerdict::NoCallerWaits);
     ledger.settle(run, RunOutcome::Withdrawn, NOW);
     let run = begin(&mut ledger, &ticket, NOW);
     present(&mut ledger, &ticket, NOW);
--- a/src/agent/ticket/ticket_ledger.rs
+++ b/src/agent/ticket/ticket_ledger.rs
@@ -190,11 +190,11 @@
             ..
         }) = self.entries.get_mut(run)
         else {
-            return DetachVerdict::NobodyWaits;
+            return DetachVerdict::NoCallerWaits;
         };
         *attached = attached.saturating_sub(1);
         if *attached == 0 {
-            DetachVerdict::NobodyWaits
+            DetachVerdict::NoCallerWaits
         } else {
             DetachVerdict::OthersWait
         }
--- a/src/agent/ticket/ticket_verdict.rs
+++ b/src/agent/ticket/ticket_verdict.rs
@@ -29,5 +29,5 @@
     /// Other callers wait for the same run; it continues.
     OthersWait,
     /// No caller waits for the run.
-    NobodyWaits,
+    NoCallerWaits,
 }
