--- a/src/agent/relay/coordinator_state.rs
+++ b/src/agent/relay/coordinator_state.rs
@@ -8,7 +8,7 @@
         claim::{AgentIdentity, PeerView, SlotBroker},
         request::CallerDeparture,
         retry::{RetryBudget, RetryCounts},
-        slot::{OpenCount, QueueCounts, SlotLimits, WaiterKey},
+        slot::{OpenLimiter, QueueCounts, SlotLimits, WaiterKey},
         ticket::{HandoverStore, LedgerCounts, LedgerLimits, RunKey, TicketLedger},
     },
     clock::ClockMillis,
@@ -25,7 +25,7 @@
     pub(super) ledger: TicketLedger,
     pub(super) handovers: HandoverStore,
     pub(super) budget: RetryBudget,
-    pub(super) streams: OpenCount,
+    pub(super) streams: OpenLimiter,
     pub(super) peers: Vec<PeerView>,
 }
 
@@ -60,7 +60,7 @@
             ledger: TicketLedger::new(own.target, service, own.incarnation, limits),
             handovers: HandoverStore::default(),
             budget: RetryBudget::new(spec.retry_percent),
-            streams: OpenCount::new(spec.limits.connections),
+            streams: OpenLimiter::new(spec.limits.connections),
             peers: Vec::new(),
         }
     }
--- a/src/agent/relay/request_coordinator.rs
+++ b/src/agent/relay/request_coordinator.rs
@@ -19,7 +19,7 @@
         endpoint::{LoadGauge, TargetIdentity, TunnelSocket},
         node::OpenWorkGauge,
         request::{RequestAction, RequestEvent, RequestMachine},
-        slot::{CountVerdict, SlotEvent, SlotKey, SlotLimits, SlotRequest, SlotVerdict, WaiterKey},
+        slot::{OpenVerdict, SlotEvent, SlotKey, SlotLimits, SlotRequest, SlotVerdict, WaiterKey},
     },
     clock::{ClockMillis, ProcessClock},
     key::{ServiceNumber, TargetKey},
@@ -239,8 +239,8 @@
     /// Opens a stream; returns `None` at the limit.
     pub(super) fn open_stream(self: &Arc<Self>) -> Option<StreamPermit> {
         match self.lock().streams.open() {
-            CountVerdict::Open => Some(StreamPermit::new(Arc::clone(self))),
-            CountVerdict::Full => None,
+            OpenVerdict::Open => Some(StreamPermit::new(Arc::clone(self))),
+            OpenVerdict::Full => None,
         }
     }
 
--- a/src/agent/slot/mod.rs
+++ b/src/agent/slot/mod.rs
@@ -1,14 +1,14 @@
 //! Concurrency slots of the target, the queue for them, and limits on open connections and
 //! streams.
 
-mod open_count;
+mod open_limiter;
 mod service_time;
 mod slot_limits;
 mod slot_queue;
 mod slot_verdict;
 mod wait_queue;
 
-pub(crate) use open_count::{CountVerdict, OpenCount};
+pub(crate) use open_limiter::{OpenLimiter, OpenVerdict};
 pub(crate) use service_time::ServiceTime;
 pub(crate) use slot_limits::SlotLimits;
 pub(crate) use slot_queue::{QueueCounts, SlotQueue};
--- a/src/agent/slot/open_count.rs
+++ b/src/agent/slot/open_limiter.rs
@@ -1,6 +1,6 @@
 /// The result of opening a connection or stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum CountVerdict {
+pub(crate) enum OpenVerdict {
     /// Counted as open until `close` is called.
     Open,
     /// The limit is reached; the count did not change.
@@ -9,14 +9,14 @@
 
 /// Counts open connections or open streams against a limit.
 #[derive(Debug)]
-pub(crate) struct OpenCount {
+pub(crate) struct OpenLimiter {
     open: u32,
     limit: u32,
     refused: u64,
 }
 
-impl OpenCount {
-    /// Creates an empty count.
+impl OpenLimiter {
+    /// Creates a limiter with nothing open.
     pub(crate) fn new(limit: u32) -> Self {
         Self {
             open: 0,
@@ -26,13 +26,13 @@
     }
 
     /// Counts one more unless the limit is reached.
-    pub(crate) fn open(&mut self) -> CountVerdict {
+    pub(crate) fn open(&mut self) -> OpenVerdict {
         if self.open >= self.limit {
             self.refused += 1;
-            return CountVerdict::Full;
+            return OpenVerdict::Full;
         }
         self.open += 1;
-        CountVerdict::Open
+        OpenVerdict::Open
     }
 
     /// Counts one fewer.
--- a/src/agent/slot/tests.rs
+++ b/src/agent/slot/tests.rs
@@ -4,7 +4,7 @@
 use slotmap::SecondaryMap;
 
 use super::{
-    CountVerdict, OpenCount, RefusalCause, SlotEvent, SlotKey, SlotLimits, SlotOrigin, SlotQueue,
+    OpenLimiter, OpenVerdict, RefusalCause, SlotEvent, SlotKey, SlotLimits, SlotOrigin, SlotQueue,
     SlotRequest, SlotVerdict, WaiterKey,
 };
 use crate::{agent::tests::fixed_cases, clock::ClockMillis, manifest::RequestPriority};
@@ -193,13 +193,13 @@
 }
 
 #[test]
-fn an_open_count_refuses_beyond_its_limit() {
-    let mut count = OpenCount::new(2);
-    assert_eq!(count.open(), CountVerdict::Open);
-    assert_eq!(count.open(), CountVerdict::Open);
-    assert_eq!(count.open(), CountVerdict::Full);
-    count.close();
-    assert_eq!(count.open(), CountVerdict::Open);
+fn an_open_limiter_refuses_beyond_its_limit() {
+    let mut limiter = OpenLimiter::new(2);
+    assert_eq!(limiter.open(), OpenVerdict::Open);
+    assert_eq!(limiter.open(), OpenVerdict::Open);
+    assert_eq!(limiter.open(), OpenVerdict::Full);
+    limiter.close();
+    assert_eq!(limiter.open(), OpenVerdict::Open);
 }
 
 #[test]
