--- a/src/agent/retry/retry_budget.rs
+++ b/src/agent/retry/retry_budget.rs
@@ -55,7 +55,7 @@
     }
 
     /// Spends one retry; returns `false` if the budget has none left.
-    pub(crate) fn take_retry(&mut self, now: ClockMillis) -> bool {
+    pub(crate) fn try_spend(&mut self, now: ClockMillis) -> bool {
         let counts = self.counts(now);
         if counts.retries >= self.allowed_retries(counts.requests) {
             return false;
--- a/src/agent/retry/retry_decision.rs
+++ b/src/agent/retry/retry_decision.rs
@@ -51,7 +51,7 @@
         if !safe_to_repeat || !self.replayable || !in_time || attempts >= MAX_ATTEMPTS {
             return RetryDecision::GiveUp;
         }
-        if budget.take_retry(now) {
+        if budget.try_spend(now) {
             RetryDecision::Retry
         } else {
             RetryDecision::BudgetSpent
--- a/src/agent/retry/tests.rs
+++ b/src/agent/retry/tests.rs
@@ -24,10 +24,10 @@
                 continue;
             }
             let before = budget.counts(clock);
-            let taken = budget.take_retry(clock);
+            let spent = budget.try_spend(clock);
             let allowed_retries = before.requests * u64::from(percent) / 100;
-            prop_assert!(!taken || before.retries < allowed_retries.max(1));
-            prop_assert!(!(taken && percent == 0));
+            prop_assert!(!spent || before.retries < allowed_retries.max(1));
+            prop_assert!(!(spent && percent == 0));
         }
     }
 }
@@ -41,7 +41,7 @@
         budget.record_request(now);
         sent += 1;
         // Every attempt fails and asks for a retry.
-        while budget.take_retry(now) {
+        while budget.try_spend(now) {
             sent += 1;
         }
     }
--- a/src/lab/model/fault_step.rs
+++ b/src/lab/model/fault_step.rs
@@ -95,7 +95,7 @@
             budget.record_request(now);
             return true;
         }
-        self.setup.retry_percent() == RunSetup::UNLIMITED_RETRIES || budget.take_retry(now)
+        self.setup.retry_percent() == RunSetup::UNLIMITED_RETRIES || budget.try_spend(now)
     }
 
     /// Schedules a resend, unless the caller has used up its resends.
