--- a/src/agent/admission/admission_gate.rs
+++ b/src/agent/admission/admission_gate.rs
@@ -1,7 +1,7 @@
 use serde::Serialize;
 
 use super::{
-    AcceptRule, AdmissionVerdict, AgentPhase, CandidatePlace, ConnectionOffer, TargetLoad,
+    AcceptRule, AdmissionVerdict, AgentPhase, CandidatePosition, ConnectionAttempt, TargetLoad,
     verdict_table::VerdictTable,
 };
 use crate::clock::{ClockMillis, SpanMillis};
@@ -77,56 +77,57 @@
     /// the last candidate never passes on: it accepts or refuses.
     pub(crate) fn admit(
         &mut self,
-        offer: ConnectionOffer,
+        attempt: ConnectionAttempt,
         load: TargetLoad,
         now: ClockMillis,
     ) -> AdmissionVerdict {
-        if let Some(verdict) = self.verdicts.find(&offer.cid, now)
-            && (verdict != AdmissionVerdict::PassOn || offer.place == CandidatePlace::Followed)
+        if let Some(verdict) = self.verdicts.find(&attempt.cid, now)
+            && (verdict != AdmissionVerdict::PassOn
+                || attempt.position == CandidatePosition::HasNext)
         {
             return verdict;
         }
-        let verdict = self.decide(offer, load, now);
-        self.verdicts.insert(offer.cid, verdict, now);
+        let verdict = self.decide(attempt, load, now);
+        self.verdicts.insert(attempt.cid, verdict, now);
         self.count(verdict);
         verdict
     }
 
     fn decide(
         &mut self,
-        offer: ConnectionOffer,
+        attempt: ConnectionAttempt,
         load: TargetLoad,
         now: ClockMillis,
     ) -> AdmissionVerdict {
         let phase = self.phase(now);
         let full = load.connections >= load.connection_limit;
-        match offer.place {
-            CandidatePlace::Last if phase == AgentPhase::Leaving => AdmissionVerdict::Refuse {
+        match attempt.position {
+            CandidatePosition::Last if phase == AgentPhase::Leaving => AdmissionVerdict::Refuse {
                 retry_after: LEAVING_RETRY_MILLIS,
             },
-            CandidatePlace::Last if full => AdmissionVerdict::Refuse {
+            CandidatePosition::Last if full => AdmissionVerdict::Refuse {
                 retry_after: FULL_RETRY_MILLIS,
             },
-            CandidatePlace::Last => AdmissionVerdict::Accept,
-            CandidatePlace::Followed if full => AdmissionVerdict::PassOn,
-            CandidatePlace::Followed => self.decide_with_next(phase, offer, load, now),
+            CandidatePosition::Last => AdmissionVerdict::Accept,
+            CandidatePosition::HasNext if full => AdmissionVerdict::PassOn,
+            CandidatePosition::HasNext => self.decide_with_next(phase, attempt, load, now),
         }
     }
 
     fn decide_with_next(
         &self,
         phase: AgentPhase,
-        offer: ConnectionOffer,
+        attempt: ConnectionAttempt,
         load: TargetLoad,
         now: ClockMillis,
     ) -> AdmissionVerdict {
         let pass_on = match phase {
             AgentPhase::Leaving => true,
             AgentPhase::Warming { since } => {
-                offer.cid.hash_permille() >= warm_up_share_permille(now.since(since))
-                    || self.rule.prefers_next(load, offer.next, now)
+                attempt.cid.hash_permille() >= warm_up_share_permille(now.since(since))
+                    || self.rule.prefers_next(load, attempt.next_load, now)
             }
-            AgentPhase::Serving => self.rule.prefers_next(load, offer.next, now),
+            AgentPhase::Serving => self.rule.prefers_next(load, attempt.next_load, now),
         };
         if pass_on {
             AdmissionVerdict::PassOn
--- a/src/agent/admission/connection_offer.rs
+++ b/src/agent/admission/connection_attempt.rs
@@ -33,9 +33,9 @@
 
 /// An agent's position in the candidate list of a first packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum CandidatePlace {
+pub(crate) enum CandidatePosition {
     /// Another candidate follows this agent.
-    Followed,
+    HasNext,
     /// No candidate follows: this agent must accept or refuse.
     Last,
 }
@@ -71,11 +71,11 @@
 
 /// What the admission decision needs to know about a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct ConnectionOffer {
+pub(crate) struct ConnectionAttempt {
     /// The ID on every first packet of the connection.
     pub(crate) cid: ClientCid,
     /// This agent's position in the candidate list.
-    pub(crate) place: CandidatePlace,
+    pub(crate) position: CandidatePosition,
     /// The next candidate's last load report, if there is one.
-    pub(crate) next: Option<PeerLoad>,
+    pub(crate) next_load: Option<PeerLoad>,
 }
--- a/src/agent/admission/tests.rs
+++ b/src/agent/admission/tests.rs
@@ -4,8 +4,8 @@
 use rstest::rstest;
 
 use super::{
-    AcceptRule, AdmissionGate, AdmissionVerdict, AgentPhase, CandidatePlace, ClientCid,
-    ConnectionOffer, PeerLoad, TargetLoad,
+    AcceptRule, AdmissionGate, AdmissionVerdict, AgentPhase, CandidatePosition, ClientCid,
+    ConnectionAttempt, PeerLoad, TargetLoad,
 };
 use crate::{
     agent::tests::fixed_cases,
@@ -21,11 +21,15 @@
     }
 }
 
-fn offer(number: u64, place: CandidatePlace, next: Option<TargetLoad>) -> ConnectionOffer {
-    ConnectionOffer {
+fn attempt(
+    number: u64,
+    position: CandidatePosition,
+    next: Option<TargetLoad>,
+) -> ConnectionAttempt {
+    ConnectionAttempt {
         cid: ClientCid::new(&number.to_be_bytes()).expect("eight bytes"),
-        place,
-        next: next.map(|load| PeerLoad {
+        position,
+        next_load: next.map(|load| PeerLoad {
             load,
             seen: ClockMillis::ORIGIN,
         }),
@@ -67,8 +71,8 @@
         {
             let now = ClockMillis::new(step as u64 * 100);
             gate.set_phase(phase);
-            let place = if last { CandidatePlace::Last } else { CandidatePlace::Followed };
-            let verdict = gate.admit(offer(7, place, Some(load(next, 0))), load(own, open), now);
+            let position = if last { CandidatePosition::Last } else { CandidatePosition::HasNext };
+            let verdict = gate.admit(attempt(7, position, Some(load(next, 0))), load(own, open), now);
             if last {
                 prop_assert_ne!(verdict, AdmissionVerdict::PassOn);
             }
@@ -82,8 +86,8 @@
     #[test]
     fn a_leaving_agent_accepts_nothing(rule in any_rule(), number in any::<u64>(), last: bool) {
         let mut gate = AdmissionGate::new(rule, AgentPhase::Leaving);
-        let place = if last { CandidatePlace::Last } else { CandidatePlace::Followed };
-        let verdict = gate.admit(offer(number, place, None), load(0, 0), ClockMillis::ORIGIN);
+        let position = if last { CandidatePosition::Last } else { CandidatePosition::HasNext };
+        let verdict = gate.admit(attempt(number, position, None), load(0, 0), ClockMillis::ORIGIN);
         prop_assert_ne!(verdict, AdmissionVerdict::Accept);
     }
 }
@@ -94,9 +98,9 @@
         let since = ClockMillis::ORIGIN;
         let mut gate = AdmissionGate::new(AcceptRule::HashOnly, AgentPhase::Warming { since });
         (0..1_000)
-            .map(|number| offer(number, CandidatePlace::Followed, None))
-            .filter(|offer| {
-                let verdict = gate.admit(*offer, load(0, 0), ClockMillis::new(millis));
+            .map(|number| attempt(number, CandidatePosition::HasNext, None))
+            .filter(|attempt| {
+                let verdict = gate.admit(*attempt, load(0, 0), ClockMillis::new(millis));
                 verdict == AdmissionVerdict::Accept
             })
             .count()
@@ -107,16 +111,20 @@
 }
 
 #[rstest]
-#[case(2_000, CandidatePlace::Followed, AdmissionVerdict::PassOn)]
-#[case(2_000, CandidatePlace::Last, AdmissionVerdict::Refuse { retry_after: SpanMillis::new(1_000) })]
-#[case(1_999, CandidatePlace::Last, AdmissionVerdict::Accept)]
+#[case(2_000, CandidatePosition::HasNext, AdmissionVerdict::PassOn)]
+#[case(2_000, CandidatePosition::Last, AdmissionVerdict::Refuse { retry_after: SpanMillis::new(1_000) })]
+#[case(1_999, CandidatePosition::Last, AdmissionVerdict::Accept)]
 fn the_connection_limit_is_enforced(
     #[case] open: u32,
-    #[case] place: CandidatePlace,
+    #[case] position: CandidatePosition,
     #[case] expected: AdmissionVerdict,
 ) {
     let mut gate = AdmissionGate::new(AcceptRule::HashOnly, AgentPhase::Serving);
-    let verdict = gate.admit(offer(1, place, None), load(0, open), ClockMillis::ORIGIN);
+    let verdict = gate.admit(
+        attempt(1, position, None),
+        load(0, open),
+        ClockMillis::ORIGIN,
+    );
     assert_eq!(verdict, expected);
 }
 
@@ -133,9 +141,9 @@
     #[case] expected: AdmissionVerdict,
 ) {
     let mut gate = AdmissionGate::new(AcceptRule::DEFAULT, AgentPhase::Serving);
-    let offer = offer(1, CandidatePlace::Followed, next);
+    let attempt = attempt(1, CandidatePosition::HasNext, next);
     assert_eq!(
-        gate.admit(offer, load(own, 0), ClockMillis::new(now)),
+        gate.admit(attempt, load(own, 0), ClockMillis::new(now)),
         expected
     );
 }
@@ -144,11 +152,15 @@
 fn the_verdict_table_is_bounded_and_expires() {
     let mut gate = AdmissionGate::new(AcceptRule::HashOnly, AgentPhase::Serving);
     for number in 0..20_000 {
-        let offer = offer(number, CandidatePlace::Followed, None);
-        gate.admit(offer, load(0, 0), ClockMillis::ORIGIN);
+        let attempt = attempt(number, CandidatePosition::HasNext, None);
+        gate.admit(attempt, load(0, 0), ClockMillis::ORIGIN);
     }
     assert_eq!(gate.counts().remembered, 8_192);
     let late = ClockMillis::new(20_000);
-    gate.admit(offer(1, CandidatePlace::Followed, None), load(0, 0), late);
+    gate.admit(
+        attempt(1, CandidatePosition::HasNext, None),
+        load(0, 0),
+        late,
+    );
     assert_eq!(gate.counts().remembered, 1);
 }
--- a/src/agent/endpoint/first_packet_gate.rs
+++ b/src/agent/endpoint/first_packet_gate.rs
@@ -3,8 +3,8 @@
 use super::LoadGauge;
 use crate::{
     agent::admission::{
-        AdmissionGate, AdmissionVerdict, AgentPhase, CandidatePlace, ClientCid, ConnectionOffer,
-        PeerLoad,
+        AdmissionGate, AdmissionVerdict, AgentPhase, CandidatePosition, ClientCid,
+        ConnectionAttempt, PeerLoad,
     },
     clock::ClockMillis,
     key::TargetKey,
@@ -61,17 +61,17 @@
         let Some(cid) = ClientCid::new(destination) else {
             return FirstPacketVerdict::Deliver;
         };
-        let place = if chain.is_empty() {
-            CandidatePlace::Last
+        let position = if chain.is_empty() {
+            CandidatePosition::Last
         } else {
-            CandidatePlace::Followed
+            CandidatePosition::HasNext
         };
-        let offer = ConnectionOffer {
+        let attempt = ConnectionAttempt {
             cid,
-            place,
-            next: next_load,
+            position,
+            next_load,
         };
-        let verdict = self.lock().admit(offer, load_gauge.read(), now);
+        let verdict = self.lock().admit(attempt, load_gauge.read(), now);
         match (verdict, chain.split_first()) {
             (AdmissionVerdict::PassOn, Some((next, rest))) => {
                 FirstPacketVerdict::PassOn { next, rest }
@@ -90,11 +90,11 @@
         let Some(cid) = ClientCid::new(destination) else {
             return AdmissionVerdict::Accept;
         };
-        let offer = ConnectionOffer {
+        let attempt = ConnectionAttempt {
             cid,
-            place: CandidatePlace::Last,
-            next: None,
+            position: CandidatePosition::Last,
+            next_load: None,
         };
-        self.lock().admit(offer, load_gauge.read(), now)
+        self.lock().admit(attempt, load_gauge.read(), now)
     }
 }
--- a/src/agent/measure/decision_benchmark.rs
+++ b/src/agent/measure/decision_benchmark.rs
@@ -8,7 +8,7 @@
 use crate::{
     agent::{
         admission::{
-            AcceptRule, AdmissionGate, AgentPhase, CandidatePlace, ClientCid, ConnectionOffer,
+            AcceptRule, AdmissionGate, AgentPhase, CandidatePosition, ClientCid, ConnectionAttempt,
             PeerLoad, TargetLoad,
         },
         claim::{AgentIdentity, PeerView, SlotBroker},
@@ -68,14 +68,14 @@
 fn admit_new(rounds: u32) -> DecisionCost {
     let mut gate = AdmissionGate::new(AcceptRule::DEFAULT, AgentPhase::Serving);
     measure("admit_new_connection", rounds, |round| {
-        black_box(gate.admit(offer(round), load(), NOW));
+        black_box(gate.admit(attempt(round), load(), NOW));
     })
 }
 
 fn admit_known(rounds: u32) -> DecisionCost {
     let mut gate = AdmissionGate::new(AcceptRule::DEFAULT, AgentPhase::Serving);
     measure("admit_known_connection", rounds, |_| {
-        black_box(gate.admit(offer(1), load(), NOW));
+        black_box(gate.admit(attempt(1), load(), NOW));
     })
 }
 
@@ -139,13 +139,13 @@
     }
 }
 
-fn offer(number: u32) -> ConnectionOffer {
+fn attempt(number: u32) -> ConnectionAttempt {
     let mut cid = [0; 8];
     cid[..4].copy_from_slice(&number.to_be_bytes());
-    ConnectionOffer {
+    ConnectionAttempt {
         cid: ClientCid::new(&cid).expect("eight bytes are no more than twenty"),
-        place: CandidatePlace::Followed,
-        next: Some(PeerLoad {
+        position: CandidatePosition::HasNext,
+        next_load: Some(PeerLoad {
             load: load(),
             seen: NOW,
         }),
--- a/src/lab/cost/agent_cost.rs
+++ b/src/lab/cost/agent_cost.rs
@@ -4,7 +4,7 @@
 use crate::{
     agent::{
         admission::{
-            AcceptRule, AdmissionGate, AgentPhase, CandidatePlace, ClientCid, ConnectionOffer,
+            AcceptRule, AdmissionGate, AgentPhase, CandidatePosition, ClientCid, ConnectionAttempt,
             TargetLoad,
         },
         slot::{SlotLimits, SlotOrigin, SlotQueue, SlotRequest, SlotVerdict},
@@ -49,13 +49,13 @@
         let Some(cid) = ClientCid::new(&number.to_be_bytes()) else {
             return;
         };
-        let offer = ConnectionOffer {
+        let attempt = ConnectionAttempt {
             cid,
-            place: CandidatePlace::Followed,
-            next: None,
+            position: CandidatePosition::HasNext,
+            next_load: None,
         };
         let now = ClockMillis::new(number / DECISIONS_PER_MILLI as u64);
-        black_box(gate.admit(offer, load, now));
+        black_box(gate.admit(attempt, load, now));
     });
     CostResult::new(ROLE, "decision on a new connection", nanos, "ns")
 }
--- a/src/lab/model/connection_step.rs
+++ b/src/lab/model/connection_step.rs
@@ -4,7 +4,7 @@
     AcceptRule, CallerKey, LabModel, MessageKind, ModelEvent, ModelMicros, lab_model::domain_of,
 };
 use crate::agent::admission::{
-    AdmissionVerdict, CandidatePlace, ClientCid, ConnectionOffer, PeerLoad, TargetLoad,
+    AdmissionVerdict, CandidatePosition, ClientCid, ConnectionAttempt, PeerLoad, TargetLoad,
 };
 
 impl LabModel {
@@ -97,7 +97,7 @@
         self.decide_admission(target, key, Some(PeerLoad { load, seen }));
     }
 
-    fn decide_admission(&mut self, target: usize, key: CallerKey, next: Option<PeerLoad>) {
+    fn decide_admission(&mut self, target: usize, key: CallerKey, next_load: Option<PeerLoad>) {
         let Some(caller) = self.population.get(key) else {
             return;
         };
@@ -105,19 +105,19 @@
         let Some(cid) = ClientCid::new(&caller.cid.to_be_bytes()) else {
             return;
         };
-        let offer = ConnectionOffer {
+        let attempt = ConnectionAttempt {
             cid,
-            place: if is_last {
-                CandidatePlace::Last
+            position: if is_last {
+                CandidatePosition::Last
             } else {
-                CandidatePlace::Followed
+                CandidatePosition::HasNext
             },
-            next,
+            next_load,
         };
         let now = self.now.to_clock();
         let station = &mut self.stations[target];
         let load = station.load();
-        match station.gate.admit(offer, load, now) {
+        match station.gate.admit(attempt, load, now) {
             AdmissionVerdict::Accept => self.accept_connection(target, key),
             AdmissionVerdict::PassOn => {
                 let position = caller.position + 1;
