--- a/src/agent/admission/accept_rule.rs
+++ b/src/agent/admission/accept_rule.rs
@@ -42,13 +42,13 @@
     ) -> bool {
         match self {
             Self::HashOnly => false,
-            Self::Threshold { load_permille } => load.work_permille() >= load_permille,
+            Self::Threshold { load_permille } => load.request_load_permille() >= load_permille,
             Self::LeastLoadedOfTwo {
                 margin_permille,
                 stale_after,
-            } => match next.filter(|report| now.since(report.seen) <= stale_after) {
+            } => match next.filter(|report| now.since(report.reported_at) <= stale_after) {
                 Some(report) => is_less_loaded(report.load, load, margin_permille),
-                None => load.work_permille() >= Self::BUSY_PERMILLE,
+                None => load.request_load_permille() >= Self::BUSY_PERMILLE,
             },
         }
     }
@@ -59,10 +59,10 @@
     if other.connections >= other.connection_limit {
         return false;
     }
-    let own_work = own.work_permille();
-    let other_work = other.work_permille();
-    if own_work.abs_diff(other_work) >= margin {
-        return other_work < own_work;
+    let own_load = own.request_load_permille();
+    let other_load = other.request_load_permille();
+    if own_load.abs_diff(other_load) >= margin {
+        return other_load < own_load;
     }
     // 5 % plus two connections, so that equal targets don't pass connections back and forth.
     u64::from(own.connections) * 20 > u64::from(other.connections) * 21 + 40
--- a/src/agent/admission/connection_attempt.rs
+++ b/src/agent/admission/connection_attempt.rs
@@ -55,7 +55,7 @@
 
 impl TargetLoad {
     /// Returns the requests in thousandths of the slots.
-    pub(crate) fn work_permille(self) -> u32 {
+    pub(crate) fn request_load_permille(self) -> u32 {
         self.requests.saturating_mul(1_000) / self.slots.max(1)
     }
 }
@@ -66,7 +66,7 @@
     /// The reported load.
     pub(crate) load: TargetLoad,
     /// When the report arrived.
-    pub(crate) seen: ClockMillis,
+    pub(crate) reported_at: ClockMillis,
 }
 
 /// What the admission decision needs to know about a new connection.
--- a/src/agent/admission/tests.rs
+++ b/src/agent/admission/tests.rs
@@ -31,7 +31,7 @@
         position,
         next_load: next.map(|load| PeerLoad {
             load,
-            seen: ClockMillis::ORIGIN,
+            reported_at: ClockMillis::ORIGIN,
         }),
     }
 }
--- a/src/agent/claim/peer_sample.rs
+++ b/src/agent/claim/peer_sample.rs
@@ -18,9 +18,9 @@
     /// The peer's target.
     pub(crate) target: TargetKey,
     /// Its reported requests in thousandths of its slots.
-    pub(crate) work_permille: u32,
+    pub(crate) request_load_permille: u32,
     /// When the report arrived.
-    pub(crate) seen: Option<ClockMillis>,
+    pub(crate) reported_at: Option<ClockMillis>,
 }
 
 /// Chooses the least loaded of a random sample of peers; `draw` seeds the sample.
@@ -41,8 +41,8 @@
 }
 
 fn assumed_permille(peer: &PeerView, now: ClockMillis) -> u32 {
-    match peer.seen {
-        Some(seen) if now.since(seen) <= STALE_MILLIS => peer.work_permille,
+    match peer.reported_at {
+        Some(reported_at) if now.since(reported_at) <= STALE_MILLIS => peer.request_load_permille,
         Some(_) | None => DEFAULT_LOAD_PERMILLE,
     }
 }
--- a/src/agent/claim/tests.rs
+++ b/src/agent/claim/tests.rs
@@ -95,8 +95,8 @@
         .filter(|index| *index != except)
         .map(|index| PeerView {
             target: target(index),
-            work_permille: 0,
-            seen: None,
+            request_load_permille: 0,
+            reported_at: None,
         })
         .collect()
 }
@@ -292,8 +292,8 @@
         let peers: Vec<PeerView> = (0..7)
             .map(|index| PeerView {
                 target: target(index),
-                work_permille: if index == lightest { 0 } else { 900 },
-                seen: Some(ClockMillis::ORIGIN),
+                request_load_permille: if index == lightest { 0 } else { 900 },
+                reported_at: Some(ClockMillis::ORIGIN),
             })
             .collect();
         let chosen = sample_peers(&peers, draw, ClockMillis::ORIGIN);
--- a/src/agent/measure/decision_benchmark.rs
+++ b/src/agent/measure/decision_benchmark.rs
@@ -147,7 +147,7 @@
         position: CandidatePosition::HasNext,
         next_load: Some(PeerLoad {
             load: load(),
-            seen: NOW,
+            reported_at: NOW,
         }),
     }
 }
@@ -164,8 +164,8 @@
 fn peer_view(port: u16) -> PeerView {
     PeerView {
         target: target(port),
-        work_permille: 500,
-        seen: Some(NOW),
+        request_load_permille: 500,
+        reported_at: Some(NOW),
     }
 }
 
--- a/src/agent/relay/peer_exchange.rs
+++ b/src/agent/relay/peer_exchange.rs
@@ -69,8 +69,8 @@
                 self.coordinator.receive(frame);
             }
             Some(PeerMessage::Load(load)) => {
-                let seen = self.coordinator.now();
-                let report = PeerLoad { load, seen };
+                let reported_at = self.coordinator.now();
+                let report = PeerLoad { load, reported_at };
                 self.coordinator
                     .socket()
                     .set_peer_load(datagram.source, report);
--- a/src/agent/relay/request_coordinator.rs
+++ b/src/agent/relay/request_coordinator.rs
@@ -294,8 +294,9 @@
                 let load = self.socket.peer_load(entry.key);
                 PeerView {
                     target: entry.key,
-                    work_permille: load.map_or(0, |report| report.load.work_permille()),
-                    seen: load.map(|report| report.seen),
+                    request_load_permille: load
+                        .map_or(0, |report| report.load.request_load_permille()),
+                    reported_at: load.map(|report| report.reported_at),
                 }
             })
             .collect()
--- a/src/lab/model/connection_step.rs
+++ b/src/lab/model/connection_step.rs
@@ -93,8 +93,8 @@
 
     /// Decides on a new connection with the probed load of the next candidate.
     pub(super) fn handle_load_reply(&mut self, target: usize, key: CallerKey, load: TargetLoad) {
-        let seen = self.now.to_clock();
-        self.decide_admission(target, key, Some(PeerLoad { load, seen }));
+        let reported_at = self.now.to_clock();
+        self.decide_admission(target, key, Some(PeerLoad { load, reported_at }));
     }
 
     fn decide_admission(&mut self, target: usize, key: CallerKey, next_load: Option<PeerLoad>) {
@@ -173,7 +173,7 @@
             if station.is_reachable() {
                 station.reported = Some(PeerLoad {
                     load: station.load(),
-                    seen: self.now.to_clock(),
+                    reported_at: self.now.to_clock(),
                 });
             }
         }
