--- a/src/agent/claim/slot_broker.rs
+++ b/src/agent/claim/slot_broker.rs
@@ -29,7 +29,7 @@
     /// Requests that got a slot at a peer.
     pub(crate) grants: Vec<PeerGrant>,
     /// Frames to send to peers.
-    pub(crate) sends: Vec<AddressedFrame>,
+    pub(crate) frames: Vec<AddressedFrame>,
 }
 
 /// Finds the first free slot for each request, local or at a peer.
@@ -70,7 +70,7 @@
         if let SlotVerdict::Wait(waiter) = verdict {
             let chosen = sample_peers(peers, draw, now);
             output
-                .sends
+                .frames
                 .extend(self.outgoing.open(waiter, request, chosen, now));
         }
         (verdict, output)
@@ -86,7 +86,7 @@
     pub(crate) fn withdraw(&mut self, waiter: WaiterKey) -> BrokerOutput {
         self.queue.withdraw(waiter);
         BrokerOutput {
-            sends: self.outgoing.withdraw(waiter),
+            frames: self.outgoing.withdraw(waiter),
             ..BrokerOutput::default()
         }
     }
@@ -134,7 +134,7 @@
         let mut output = self.withdraw_dequeued(expired);
         let events = self.queue.advance(now);
         output.append(self.route_events(events, now));
-        output.sends.extend(self.outgoing.resend_due(now));
+        output.frames.extend(self.outgoing.resend_due(now));
         output
     }
 
@@ -149,14 +149,14 @@
     }
 
     fn handle_grant(&mut self, key: ClaimKey, granter: AgentIdentity) -> BrokerOutput {
-        let (grant, sends) = self.outgoing.handle_grant(key, granter);
+        let (grant, frames) = self.outgoing.handle_grant(key, granter);
         if let Some(grant) = grant {
             self.queue.withdraw(grant.waiter);
         }
         BrokerOutput {
             events: Vec::new(),
             grants: grant.into_iter().collect(),
-            sends,
+            frames,
         }
     }
 
@@ -167,15 +167,15 @@
 
     /// Releases the claims of own requests that have left the queue.
     fn withdraw_dequeued(&mut self, output: IncomingOutput) -> BrokerOutput {
-        let mut sends = output.frames;
+        let mut frames = output.frames;
         for event in &output.own_events {
             let (SlotEvent::Started { waiter, .. } | SlotEvent::Refused { waiter, .. }) = event;
-            sends.extend(self.outgoing.withdraw(*waiter));
+            frames.extend(self.outgoing.withdraw(*waiter));
         }
         BrokerOutput {
             events: output.own_events,
             grants: Vec::new(),
-            sends,
+            frames,
         }
     }
 }
@@ -184,6 +184,6 @@
     fn append(&mut self, other: Self) {
         self.events.extend(other.events);
         self.grants.extend(other.grants);
-        self.sends.extend(other.sends);
+        self.frames.extend(other.frames);
     }
 }
--- a/src/agent/claim/tests.rs
+++ b/src/agent/claim/tests.rs
@@ -205,7 +205,7 @@
     }
 
     fn apply_output(&mut self, at: usize, output: BrokerOutput) {
-        self.network.extend(output.sends);
+        self.network.extend(output.frames);
         for event in output.events {
             match event {
                 SlotEvent::Started { waiter, slot } => {
@@ -333,10 +333,10 @@
     }
     let (verdict, output) = busy.request(request, &peer_views(0)[..1], 1, now);
     assert!(matches!(verdict, SlotVerdict::Wait(_)));
-    let [claim] = output.sends.as_slice() else {
+    let [claim] = output.frames.as_slice() else {
         panic!("one claim at the only peer");
     };
-    let grants = idle.receive(claim.frame, now).sends;
+    let grants = idle.receive(claim.frame, now).frames;
     let output = busy.receive(grants[0].frame, now);
     assert_eq!(output.grants.len(), 1);
     assert_eq!(busy.counts().waiting, 0);
@@ -363,11 +363,11 @@
     let SlotVerdict::Wait(waiter) = verdict else {
         panic!("both slots are taken: {verdict:?}");
     };
-    let granted = idle.receive(output.sends[0].frame, now).sends;
-    let mut withdrawn = busy.withdraw(waiter).sends;
+    let granted = idle.receive(output.frames[0].frame, now).frames;
+    let mut withdrawn = busy.withdraw(waiter).frames;
     // The release sent by the withdrawal is lost; the one that answers the grant arrives.
     withdrawn.clear();
-    let released = busy.receive(granted[0].frame, now).sends;
+    let released = busy.receive(granted[0].frame, now).frames;
     idle.receive(released[0].frame, now);
     assert_eq!(idle.counts().running, 0);
 }
--- a/src/agent/relay/request_coordinator.rs
+++ b/src/agent/relay/request_coordinator.rs
@@ -308,9 +308,9 @@
     fn apply_output(&self, state: &mut CoordinatorState, output: BrokerOutput) {
         let mut pending = vec![output];
         while let Some(output) = pending.pop() {
-            for send in output.sends {
-                let message = PeerMessage::Claim(send.frame);
-                self.socket.send_peer(send.to, &message.encode());
+            for frame in output.frames {
+                let message = PeerMessage::Claim(frame.frame);
+                self.socket.send_peer(frame.to, &message.encode());
             }
             for (waiter, outcome) in wait_outcomes(output.events, output.grants) {
                 let sender = state.waiters.remove(waiter);
