--- a/src/agent/relay/driver_actions.rs
+++ b/src/agent/relay/driver_actions.rs
@@ -34,13 +34,13 @@
             RequestAction::ReleaseSlot(_) => self.slot_permit = None,
             // `RequestDriver::run` opens and sends according to the stage.
             RequestAction::Open(_) | RequestAction::Send(_) => {}
-            RequestAction::OpenElsewhere => self.retry_elsewhere(),
-            RequestAction::QueueAgain => {
+            RequestAction::RetryElsewhere => self.retry_elsewhere(),
+            RequestAction::Requeue => {
                 // Waits locally: a peer that lost one grant may lose another.
                 self.grant = None;
                 self.wait_for_slot(false);
             }
-            RequestAction::PassAnswer => self.forward_head().await,
+            RequestAction::ForwardAnswer => self.forward_head().await,
             RequestAction::EndAnswer => {
                 if let Some(sink) = self.sink.take() {
                     sink.finish().await;
@@ -51,7 +51,7 @@
                     sink.reset();
                 }
             }
-            RequestAction::DropAttempt => {
+            RequestAction::CancelAttempt => {
                 self.connection = None;
                 self.answer = None;
             }
--- a/src/agent/relay/request_driver.rs
+++ b/src/agent/relay/request_driver.rs
@@ -239,7 +239,7 @@
 
     async fn forward_answer(&mut self) {
         let Some(answer) = self.answer.take() else {
-            return self.handle(RequestEvent::AnswerBroken).await;
+            return self.handle(RequestEvent::AnswerTruncated).await;
         };
         let mut body = answer.into_body();
         let deadline = self.deadline_mode();
@@ -262,7 +262,7 @@
             }
             Some(Err(error)) => {
                 log_event!(warn, AgentEvent::AnswerCut, %error);
-                self.handle(RequestEvent::AnswerBroken).await;
+                self.handle(RequestEvent::AnswerTruncated).await;
             }
             None => {
                 if let Some(connection) = self.connection.take()
--- a/src/agent/request/request_action.rs
+++ b/src/agent/request/request_action.rs
@@ -24,19 +24,19 @@
     /// Open a connection to run the request there.
     Open(RunPlace),
     /// Queue the request for a slot again.
-    QueueAgain,
+    Requeue,
     /// Make another attempt at a peer, or locally if there is none.
-    OpenElsewhere,
+    RetryElsewhere,
     /// Send the request: from here on it may run.
     Send(RunPlace),
     /// Forward the head of the answer, then the body as it arrives.
-    PassAnswer,
+    ForwardAnswer,
     /// End the answer: it is complete.
     EndAnswer,
     /// Reset the answer, so that the caller sees that it is incomplete.
     ResetAnswer,
     /// Close the attempt's connection, which cancels the request at the other end.
-    DropAttempt,
+    CancelAttempt,
     /// Record how the run under the request's ticket ended.
     SettleTicket(SettledRun),
     /// Send this final answer.
--- a/src/agent/request/request_event.rs
+++ b/src/agent/request/request_event.rs
@@ -37,7 +37,7 @@
     /// The answer is complete.
     AnswerEnd,
     /// The answer ended early, after its head.
-    AnswerBroken,
+    AnswerTruncated,
     /// The caller left.
     CallerLeft(CallerDeparture),
     /// The deadline passed.
--- a/src/agent/request/request_machine.rs
+++ b/src/agent/request/request_machine.rs
@@ -74,7 +74,7 @@
             RequestEvent::AttemptFailed(failure) => self.handle_failure(failure, budget, now),
             RequestEvent::AnswerHead => self.begin_answer(),
             RequestEvent::AnswerEnd => self.end_answer(),
-            RequestEvent::AnswerBroken => self.fail_answer(),
+            RequestEvent::AnswerTruncated => self.fail_answer(),
             RequestEvent::CallerLeft(departure) => self.handle_departure(departure),
             RequestEvent::Deadline => self.handle_deadline(),
             RequestEvent::Cut => self.cut(),
@@ -132,7 +132,7 @@
             return self.give_up(AttemptFailure::NotRun, NotRunCause::GrantLost);
         }
         self.stage = RequestStage::Waiting;
-        vec![RequestAction::QueueAgain]
+        vec![RequestAction::Requeue]
     }
 
     fn handle_failure(
@@ -158,7 +158,7 @@
             RetryDecision::Retry => {
                 self.earlier_may_have_run |= failure == AttemptFailure::MayHaveRun;
                 let mut actions = self.release_slot();
-                actions.push(RequestAction::OpenElsewhere);
+                actions.push(RequestAction::RetryElsewhere);
                 self.stage = RequestStage::Waiting;
                 actions
             }
@@ -186,7 +186,7 @@
             return Vec::new();
         };
         self.stage = RequestStage::Answering(place);
-        self.for_caller(RequestAction::PassAnswer)
+        self.for_caller(RequestAction::ForwardAnswer)
     }
 
     fn end_answer(&mut self) -> Vec<RequestAction> {
@@ -311,7 +311,7 @@
         match self.stage {
             RequestStage::Waiting => vec![RequestAction::LeaveQueues],
             RequestStage::Opening(_) | RequestStage::Sent(_) | RequestStage::Answering(_) => {
-                vec![RequestAction::DropAttempt]
+                vec![RequestAction::CancelAttempt]
             }
             RequestStage::Closed => Vec::new(),
         }
--- a/src/agent/request/tests/at_most_once.rs
+++ b/src/agent/request/tests/at_most_once.rs
@@ -262,7 +262,7 @@
                 }
                 RequestAction::Answer(answer) => self.record_answer(&answer),
                 RequestAction::SettleTicket(settled) => self.settle(at, settled),
-                RequestAction::OpenElsewhere => {
+                RequestAction::RetryElsewhere => {
                     if let Some(run) = &mut self.agents[at].run {
                         run.machine.start_at(RunPlace::Peer(target(2)));
                     }
--- a/src/agent/request/tests/single_request.rs
+++ b/src/agent/request/tests/single_request.rs
@@ -59,7 +59,7 @@
         1 => Just(TestEvent::Event(RequestEvent::GrantLost)),
         2 => Just(TestEvent::Event(RequestEvent::AnswerHead)),
         2 => Just(TestEvent::Event(RequestEvent::AnswerEnd)),
-        1 => Just(TestEvent::Event(RequestEvent::AnswerBroken)),
+        1 => Just(TestEvent::Event(RequestEvent::AnswerTruncated)),
         1 => Just(TestEvent::Event(RequestEvent::CallerLeft(CallerDeparture::Cancelled))),
         1 => Just(TestEvent::Event(RequestEvent::CallerLeft(CallerDeparture::Lost))),
         1 => Just(TestEvent::Event(RequestEvent::Deadline)),
@@ -131,7 +131,7 @@
                 record.sends_not_run += 1;
             }
             let mut actions = machine.handle(event, &mut budget, ClockMillis::ORIGIN);
-            if actions.contains(&RequestAction::OpenElsewhere) {
+            if actions.contains(&RequestAction::RetryElsewhere) {
                 actions.extend(machine.start_at(RunPlace::Peer(peer())));
             }
             record.apply(&actions);
@@ -156,13 +156,17 @@
     for event in [RequestEvent::Connected, RequestEvent::AnswerHead] {
         machine.handle(event, &mut budget, ClockMillis::ORIGIN);
     }
-    let actions = machine.handle(RequestEvent::AnswerBroken, &mut budget, ClockMillis::ORIGIN);
+    let actions = machine.handle(
+        RequestEvent::AnswerTruncated,
+        &mut budget,
+        ClockMillis::ORIGIN,
+    );
     assert_eq!(actions, [RequestAction::ResetAnswer]);
 }
 
 #[test]
 fn a_lost_caller_does_not_stop_a_ticketed_run_but_a_cancellation_does() {
-    for (departure, drops_attempt) in [
+    for (departure, cancels_attempt) in [
         (CallerDeparture::Lost, false),
         (CallerDeparture::OthersWait, false),
         (CallerDeparture::Cancelled, true),
@@ -173,7 +177,10 @@
         machine.handle(RequestEvent::Connected, &mut budget, ClockMillis::ORIGIN);
         let event = RequestEvent::CallerLeft(departure);
         let actions = machine.handle(event, &mut budget, ClockMillis::ORIGIN);
-        assert_eq!(actions.contains(&RequestAction::DropAttempt), drops_attempt);
+        assert_eq!(
+            actions.contains(&RequestAction::CancelAttempt),
+            cancels_attempt
+        );
     }
 }
 
