--- a/src/agent/drain/drain_event.rs
+++ b/src/agent/drain/drain_event.rs
@@ -32,9 +32,9 @@
     )]
     StopNow,
     /// Control committed the announced phase.
-    Announced(TargetPhase),
+    AnnouncementCommitted(TargetPhase),
     /// The open work at this time; sent again as time passes.
-    Counted(OpenWork),
+    OpenWorkCounted(OpenWork),
 }
 
 /// An action that the I/O layer carries out.
--- a/src/agent/drain/drain_machine.rs
+++ b/src/agent/drain/drain_machine.rs
@@ -39,11 +39,11 @@
             DrainEvent::Begin { goal, deadline } => self.begin(goal, deadline, now),
             DrainEvent::Cancel => self.cancel(),
             DrainEvent::StopNow => vec![DrainAction::CutOpenWork, DrainAction::Exit],
-            DrainEvent::Announced(phase) => {
+            DrainEvent::AnnouncementCommitted(phase) => {
                 self.confirm_announcement(phase, now);
                 Vec::new()
             }
-            DrainEvent::Counted(open) => {
+            DrainEvent::OpenWorkCounted(open) => {
                 self.open = open;
                 self.advance(now)
             }
--- a/src/agent/drain/tests.rs
+++ b/src/agent/drain/tests.rs
@@ -41,10 +41,10 @@
             )
         }),
         Just(DrainEvent::Cancel),
-        Just(DrainEvent::Announced(TargetPhase::Leaving)),
-        Just(DrainEvent::Announced(TargetPhase::Serving)),
+        Just(DrainEvent::AnnouncementCommitted(TargetPhase::Leaving)),
+        Just(DrainEvent::AnnouncementCommitted(TargetPhase::Serving)),
         (0u32..3, 0u32..2).prop_map(|(running, streams)| {
-            DrainEvent::Counted(OpenWork {
+            DrainEvent::OpenWorkCounted(OpenWork {
                 running,
                 streams,
                 ..IDLE
@@ -76,7 +76,7 @@
                             DrainStage::Drained { cut: false, .. }
                         );
                         prop_assert!(drained);
-                        if let DrainEvent::Counted(open) = event {
+                        if let DrainEvent::OpenWorkCounted(open) = event {
                             prop_assert!(open.is_empty());
                         }
                     }
@@ -95,16 +95,19 @@
     let actions = machine.handle(begin(DrainGoal::Exit, None), at(0));
     assert!(actions.contains(&DrainAction::SetPhase(TargetPhase::Leaving)));
     assert!(actions.contains(&DrainAction::SendGoAway));
-    machine.handle(DrainEvent::Announced(TargetPhase::Leaving), at(10));
+    machine.handle(
+        DrainEvent::AnnouncementCommitted(TargetPhase::Leaving),
+        at(10),
+    );
     for hour in 1..48 {
         let now = at(hour * 3_600_000);
         assert!(
             machine
-                .handle(DrainEvent::Counted(ONE_STREAM), now)
+                .handle(DrainEvent::OpenWorkCounted(ONE_STREAM), now)
                 .is_empty()
         );
     }
-    let actions = machine.handle(DrainEvent::Counted(IDLE), at(200_000_000));
+    let actions = machine.handle(DrainEvent::OpenWorkCounted(IDLE), at(200_000_000));
     assert_eq!(actions, [DrainAction::HandOverTickets, DrainAction::Exit]);
 }
 
@@ -112,15 +115,18 @@
 fn an_idle_target_waits_until_balancers_are_informed() {
     let mut machine = DrainMachine::new();
     machine.handle(begin(DrainGoal::Stay, None), at(0));
-    machine.handle(DrainEvent::Announced(TargetPhase::Leaving), at(500));
+    machine.handle(
+        DrainEvent::AnnouncementCommitted(TargetPhase::Leaving),
+        at(500),
+    );
     assert!(
         machine
-            .handle(DrainEvent::Counted(IDLE), at(2_400))
+            .handle(DrainEvent::OpenWorkCounted(IDLE), at(2_400))
             .is_empty()
     );
     assert!(
         machine
-            .handle(DrainEvent::Counted(IDLE), at(2_500))
+            .handle(DrainEvent::OpenWorkCounted(IDLE), at(2_500))
             .is_empty()
     );
     let drained = DrainStage::Drained {
@@ -138,10 +144,10 @@
     machine.handle(begin(DrainGoal::Exit, None), at(0));
     assert!(
         machine
-            .handle(DrainEvent::Counted(IDLE), at(9_999))
+            .handle(DrainEvent::OpenWorkCounted(IDLE), at(9_999))
             .is_empty()
     );
-    let actions = machine.handle(DrainEvent::Counted(IDLE), at(10_000));
+    let actions = machine.handle(DrainEvent::OpenWorkCounted(IDLE), at(10_000));
     assert!(actions.contains(&DrainAction::Exit));
 }
 
@@ -152,10 +158,10 @@
     machine.handle(begin(DrainGoal::Exit, None), at(1_000));
     assert!(
         machine
-            .handle(DrainEvent::Counted(ONE_STREAM), at(4_999))
+            .handle(DrainEvent::OpenWorkCounted(ONE_STREAM), at(4_999))
             .is_empty()
     );
-    let actions = machine.handle(DrainEvent::Counted(ONE_STREAM), at(5_000));
+    let actions = machine.handle(DrainEvent::OpenWorkCounted(ONE_STREAM), at(5_000));
     assert_eq!(
         actions,
         [
@@ -180,14 +186,14 @@
     );
     assert!(
         machine
-            .handle(DrainEvent::Counted(ONE_STREAM), at(9_000))
+            .handle(DrainEvent::OpenWorkCounted(ONE_STREAM), at(9_000))
             .is_empty()
     );
     let actions = machine.handle(begin(DrainGoal::Stay, None), at(10_000));
     assert!(actions.contains(&DrainAction::Announce(TargetPhase::Leaving)));
     assert!(
         machine
-            .handle(DrainEvent::Counted(ONE_STREAM), at(90_000))
+            .handle(DrainEvent::OpenWorkCounted(ONE_STREAM), at(90_000))
             .is_empty()
     );
 }
--- a/src/agent/node/agent_node.rs
+++ b/src/agent/node/agent_node.rs
@@ -343,7 +343,7 @@
 async fn report_commits(mut committed: watch::Receiver<TargetPhase>, drain: ActorRef<DrainActor>) {
     while committed.changed().await.is_ok() {
         let phase = *committed.borrow_and_update();
-        let event = DrainEvent::Announced(phase);
+        let event = DrainEvent::AnnouncementCommitted(phase);
         if drain.tell(DrainInput(event)).await.is_err() {
             return;
         }
@@ -372,7 +372,7 @@
             self.load_gauge
                 .set_connections(self.endpoint.open_connections());
             self.apply_service();
-            let event = DrainEvent::Counted(self.open_work.read());
+            let event = DrainEvent::OpenWorkCounted(self.open_work.read());
             if self.drain.tell(DrainInput(event)).await.is_err() {
                 return;
             }
--- a/src/agent/relay/driver_actions.rs
+++ b/src/agent/relay/driver_actions.rs
@@ -204,8 +204,8 @@
 
     pub(super) fn deadline_mode(&self) -> DeadlineMode {
         match self.profile.answer_deadline {
-            AnswerDeadline::Whole => DeadlineMode::Enforced,
-            AnswerDeadline::Begun => DeadlineMode::Ignored,
+            AnswerDeadline::Complete => DeadlineMode::Enforced,
+            AnswerDeadline::Started => DeadlineMode::Ignored,
         }
     }
 }
--- a/src/agent/relay/request_driver.rs
+++ b/src/agent/relay/request_driver.rs
@@ -283,7 +283,7 @@
             return;
         };
         let deadline = self.profile.deadline;
-        let is_timed = self.profile.answer_deadline == AnswerDeadline::Whole;
+        let is_timed = self.profile.answer_deadline == AnswerDeadline::Complete;
         let holds_slot = self.slot_permit.is_some();
         let sent = tokio::select! {
             sent = sink.send_data(data) => sent.is_ok(),
--- a/src/agent/request/request_machine.rs
+++ b/src/agent/request/request_machine.rs
@@ -227,7 +227,9 @@
     fn handle_deadline(&mut self) -> Vec<RequestAction> {
         match self.stage {
             RequestStage::Closed => Vec::new(),
-            RequestStage::Answering(_) if self.profile.answer_deadline == AnswerDeadline::Begun => {
+            RequestStage::Answering(_)
+                if self.profile.answer_deadline == AnswerDeadline::Started =>
+            {
                 Vec::new()
             }
 
--- a/src/agent/request/request_profile.rs
+++ b/src/agent/request/request_profile.rs
@@ -33,9 +33,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AnswerDeadline {
     /// The answer must be complete by the deadline.
-    Whole,
-    /// The answer must have begun by the deadline.
-    Begun,
+    Complete,
+    /// The answer must have started by the deadline.
+    Started,
 }
 
 /// How to handle a request, from its traffic rule and header fields.
@@ -87,9 +87,9 @@
         let is_explicit =
             deadline_field.is_some() || rule.is_some_and(|rule| rule.deadline.is_some());
         let answer_deadline = if is_explicit && !treatment.stream {
-            AnswerDeadline::Whole
+            AnswerDeadline::Complete
         } else {
-            AnswerDeadline::Begun
+            AnswerDeadline::Started
         };
         Ok(Self {
             priority: treatment.priority,
--- a/src/agent/request/tests/single_request.rs
+++ b/src/agent/request/tests/single_request.rs
@@ -30,7 +30,7 @@
         priority: RequestPriority::Normal,
         deadline: ClockMillis::new(1_000_000),
         idempotent,
-        answer_deadline: AnswerDeadline::Whole,
+        answer_deadline: AnswerDeadline::Complete,
         kind: RequestKind::Slotted,
         ticketed,
         replayable: true,
@@ -187,8 +187,8 @@
 #[test]
 fn only_an_explicit_deadline_resets_an_answer_in_progress() {
     for (answer_deadline, resets_answer) in [
-        (AnswerDeadline::Whole, true),
-        (AnswerDeadline::Begun, false),
+        (AnswerDeadline::Complete, true),
+        (AnswerDeadline::Started, false),
     ] {
         let mut budget = RetryBudget::new(10);
         let mut machine = RequestMachine::new(RequestProfile {
