--- a/src/agent/claim/tests.rs
+++ b/src/agent/claim/tests.rs
@@ -144,7 +144,7 @@
         let request = SlotRequest {
             priority: RequestPriority::Normal,
             deadline: ClockMillis::new(self.now.millis() + time_left),
-            origin: SlotOrigin::Own,
+            origin: SlotOrigin::Local,
         };
         let draw = self.requests;
         let (verdict, output) = self.brokers[at].request(request, &peer_views(at), draw, self.now);
@@ -326,7 +326,7 @@
     let request = SlotRequest {
         priority: RequestPriority::Normal,
         deadline: ClockMillis::new(10_000),
-        origin: SlotOrigin::Own,
+        origin: SlotOrigin::Local,
     };
     for _ in 0..2 {
         busy.request(request, &[], 1, now);
@@ -354,7 +354,7 @@
     let request = SlotRequest {
         priority: RequestPriority::Normal,
         deadline: ClockMillis::new(10_000),
-        origin: SlotOrigin::Own,
+        origin: SlotOrigin::Local,
     };
     for _ in 0..2 {
         busy.request(request, &[], 1, now);
--- a/src/agent/measure/decision_benchmark.rs
+++ b/src/agent/measure/decision_benchmark.rs
@@ -31,7 +31,7 @@
 const REQUEST: SlotRequest = SlotRequest {
     priority: RequestPriority::Normal,
     deadline: ClockMillis::new(u64::MAX),
-    origin: SlotOrigin::Own,
+    origin: SlotOrigin::Local,
 };
 const NOW: ClockMillis = ClockMillis::ORIGIN;
 
--- a/src/agent/request/request_profile.rs
+++ b/src/agent/request/request_profile.rs
@@ -113,7 +113,7 @@
         SlotRequest {
             priority: self.priority,
             deadline: self.deadline,
-            origin: SlotOrigin::Own,
+            origin: SlotOrigin::Local,
         }
     }
 
--- a/src/agent/slot/slot_queue.rs
+++ b/src/agent/slot/slot_queue.rs
@@ -123,7 +123,7 @@
     pub(crate) fn counts(&self) -> QueueCounts {
         QueueCounts {
             running: u16::try_from(self.running.len()).unwrap_or(u16::MAX),
-            waiting: u16::try_from(self.waiting.len(SlotOrigin::Own)).unwrap_or(u16::MAX),
+            waiting: u16::try_from(self.waiting.len(SlotOrigin::Local)).unwrap_or(u16::MAX),
             slots: self.limits.slots,
         }
     }
@@ -137,7 +137,7 @@
     /// Returns the waiting request to displace in favour of `request`.
     fn find_displaced(&self, request: SlotRequest) -> Option<WaiterKey> {
         match request.origin {
-            SlotOrigin::Own => self.waiting.last_own_below(request.priority),
+            SlotOrigin::Local => self.waiting.last_own_below(request.priority),
             SlotOrigin::Peer => None,
         }
     }
--- a/src/agent/slot/slot_verdict.rs
+++ b/src/agent/slot/slot_verdict.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SlotOrigin {
     /// A caller of this agent.
-    Own,
+    Local,
     /// A claim of a peer; its request also waits at that peer.
     Peer,
 }
--- a/src/agent/slot/tests.rs
+++ b/src/agent/slot/tests.rs
@@ -19,7 +19,7 @@
     SlotRequest {
         priority,
         deadline: ClockMillis::new(deadline),
-        origin: SlotOrigin::Own,
+        origin: SlotOrigin::Local,
     }
 }
 
--- a/src/agent/slot/wait_queue.rs
+++ b/src/agent/slot/wait_queue.rs
@@ -25,7 +25,7 @@
     pub(super) fn len(&self, origin: SlotOrigin) -> usize {
         let own = self.own_counts.iter().sum();
         match origin {
-            SlotOrigin::Own => own,
+            SlotOrigin::Local => own,
             SlotOrigin::Peer => self.requests.len() - own,
         }
     }
@@ -48,7 +48,7 @@
     /// Appends a request to the queue of its priority.
     pub(super) fn push(&mut self, request: SlotRequest) -> WaiterKey {
         let waiter = self.requests.insert(request);
-        if request.origin == SlotOrigin::Own {
+        if request.origin == SlotOrigin::Local {
             self.own_counts[priority_index(request.priority)] += 1;
         }
         self.queues[priority_index(request.priority)].push_back(waiter);
@@ -77,7 +77,7 @@
 
     fn is_own(&self, waiter: WaiterKey) -> bool {
         self.get(waiter)
-            .is_some_and(|request| request.origin == SlotOrigin::Own)
+            .is_some_and(|request| request.origin == SlotOrigin::Local)
     }
 
     /// Removes a request; returns it if it was waiting.
@@ -85,7 +85,7 @@
         let request = self.requests.remove(waiter)?;
         let index = priority_index(request.priority);
         self.queues[index].retain(|key| *key != waiter);
-        if request.origin == SlotOrigin::Own {
+        if request.origin == SlotOrigin::Local {
             self.own_counts[index] -= 1;
         }
         Some(request)
--- a/src/lab/cost/agent_cost.rs
+++ b/src/lab/cost/agent_cost.rs
@@ -72,7 +72,7 @@
         let request = SlotRequest {
             priority: RequestPriority::Normal,
             deadline: ClockMillis::new(u64::MAX),
-            origin: SlotOrigin::Own,
+            origin: SlotOrigin::Local,
         };
         let (verdict, _) = queue.request(request, now);
         if let SlotVerdict::Run(slot) = verdict {
--- a/src/lab/model/target_station.rs
+++ b/src/lab/model/target_station.rs
@@ -77,7 +77,7 @@
     /// Returns whether the request comes from a caller here or from a peer.
     pub(crate) const fn origin(self) -> SlotOrigin {
         match self {
-            Self::Own(_) => SlotOrigin::Own,
+            Self::Own(_) => SlotOrigin::Local,
             Self::Claim(_) => SlotOrigin::Peer,
         }
     }
