--- a/src/agent/request/request_profile.rs
+++ b/src/agent/request/request_profile.rs
@@ -72,12 +72,12 @@
         deadline_field: Option<&str>,
         now: ClockMillis,
     ) -> Result<Self, ProfileError> {
-        let treatment = spec.treatment_for(method, path);
+        let policy = spec.policy_for(method, path);
         let span = match deadline_field {
             Some(text) => parse_deadline(text)?,
-            None => treatment.deadline,
+            None => policy.deadline,
         };
-        let kind = if treatment.stream {
+        let kind = if policy.stream {
             RequestKind::Stream
         } else {
             RequestKind::Slotted
@@ -86,16 +86,16 @@
         let rule = spec.rule_for(method, path);
         let is_explicit =
             deadline_field.is_some() || rule.is_some_and(|rule| rule.deadline.is_some());
-        let answer_deadline = if is_explicit && !treatment.stream {
+        let answer_deadline = if is_explicit && !policy.stream {
             AnswerDeadline::Complete
         } else {
             AnswerDeadline::Started
         };
         Ok(Self {
-            priority: treatment.priority,
+            priority: policy.priority,
             deadline: now.after(span.min(MAX_DEADLINE_MILLIS)),
             answer_deadline,
-            idempotent: treatment.idempotent,
+            idempotent: policy.idempotent,
             kind,
             ticketed: false,
             replayable: true,
--- a/src/manifest/mod.rs
+++ b/src/manifest/mod.rs
@@ -18,7 +18,7 @@
 pub use manifest_fault::ManifestFault;
 pub use manifest_text::{MAX_MANIFEST_BYTES, ManifestError, ManifestText};
 pub use rule_check::{MAX_METHOD_CHARS, MAX_METHODS, MAX_PREFIX_CHARS};
-pub use rule_match::{RequestTreatment, is_idempotent};
+pub use rule_match::{RequestPolicy, is_idempotent};
 pub use service_check::{MAX_NAME_CHARS, MAX_RULES};
 pub use service_spec::{ServiceLimits, ServiceSpec};
 pub use traffic_rule::{RequestPriority, TrafficRule};
--- a/src/manifest/rule_match.rs
+++ b/src/manifest/rule_match.rs
@@ -3,7 +3,7 @@
 
 /// How a request is handled, from its service's rules and defaults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RequestTreatment {
+pub struct RequestPolicy {
     /// The queue priority.
     pub priority: RequestPriority,
     /// The deadline if the request has none of its own.
@@ -32,9 +32,9 @@
 
     /// Returns how a request is handled, with the defaults where no rule applies.
     #[must_use]
-    pub fn treatment_for(&self, method: &str, path: &str) -> RequestTreatment {
+    pub fn policy_for(&self, method: &str, path: &str) -> RequestPolicy {
         let rule = self.rule_for(method, path);
-        RequestTreatment {
+        RequestPolicy {
             priority: rule.map(|rule| rule.priority).unwrap_or_default(),
             deadline: rule.and_then(|rule| rule.deadline).unwrap_or(self.deadline),
             idempotent: rule
--- a/src/manifest/tests/matching.rs
+++ b/src/manifest/tests/matching.rs
@@ -21,11 +21,11 @@
     let manifest = valid_manifest();
     let service = &manifest.services[1];
     assert_eq!(service.rule_for("POST", "/"), None);
-    let treatment = service.treatment_for("POST", "/");
-    assert_eq!(treatment.priority, RequestPriority::Normal);
-    assert_eq!(treatment.deadline, service.deadline);
-    assert!(!treatment.idempotent);
-    assert!(!treatment.stream);
+    let policy = service.policy_for("POST", "/");
+    assert_eq!(policy.priority, RequestPriority::Normal);
+    assert_eq!(policy.deadline, service.deadline);
+    assert!(!policy.idempotent);
+    assert!(!policy.stream);
 }
 
 #[rstest]
@@ -38,8 +38,8 @@
     #[case] idempotent: bool,
 ) {
     let manifest = valid_manifest();
-    let treatment = manifest.services[0].treatment_for(method, path);
-    assert_eq!(treatment.idempotent, idempotent);
+    let policy = manifest.services[0].policy_for(method, path);
+    assert_eq!(policy.idempotent, idempotent);
 }
 
 #[rstest]
