--- a/src/agent/endpoint/answer_paths.rs
+++ b/src/agent/endpoint/answer_paths.rs
@@ -64,9 +64,9 @@
     }
 
     /// Records an echo from `balancer`.
-    pub(super) fn take_echo(&mut self, balancer: SocketAddrV4, number: u16) {
+    pub(super) fn record_echo(&mut self, balancer: SocketAddrV4, number: u16) {
         if let Some(path) = self.find(balancer)
-            && path.health.take_echo(number)
+            && path.health.record_echo(number)
         {
             path.is_silent = false;
         }
@@ -88,7 +88,7 @@
         let newly_silent = self.mark_silent(now);
         let index = self
             .best_index(caller, |path| {
-                path.is_usable(now) && !path.health.is_doubtful(now)
+                path.is_usable(now) && !path.health.is_unconfirmed(now)
             })
             .or_else(|| self.best_index(caller, |path| path.is_usable(now)))
             .or_else(|| self.best_index(caller, |_| true))?;
@@ -106,9 +106,9 @@
     pub(super) fn due_probes(&mut self, now: ClockMillis) -> Vec<(SocketAddrV4, u16)> {
         let probes = self.paths.iter_mut().filter_map(|path| {
             let number = if path.is_silent {
-                path.health.rare_probe(now)?
+                path.health.slow_probe(now)?
             } else {
-                path.health.doubt_probe(now)?
+                path.health.confirmation_probe(now)?
             };
             Some((path.balancer, number))
         });
@@ -153,7 +153,7 @@
         let mut newly_silent = None;
         for path in &mut self.paths {
             if path.health.is_silent(now) {
-                path.health = path.health.moved();
+                path.health = path.health.restarted();
                 if !path.is_silent {
                     newly_silent = Some(path.balancer);
                 }
--- a/src/agent/endpoint/frame_dispatch.rs
+++ b/src/agent/endpoint/frame_dispatch.rs
@@ -37,7 +37,7 @@
                 None
             }
             FrameKind::Echo => {
-                self.take_echo(source, &header);
+                self.record_echo(source, &header);
                 None
             }
             FrameKind::Peer => {
@@ -179,9 +179,9 @@
         self.counters.increment(CounterKind::PassedOn);
     }
 
-    fn take_echo(&self, balancer: SocketAddrV4, header: &FrameHeader) {
+    fn record_echo(&self, balancer: SocketAddrV4, header: &FrameHeader) {
         if let Some(number) = header.echo {
-            self.lock_paths().take_echo(balancer, number);
+            self.lock_paths().record_echo(balancer, number);
         }
     }
 
--- a/src/agent/endpoint/tests/answer_path_choice.rs
+++ b/src/agent/endpoint/tests/answer_path_choice.rs
@@ -30,7 +30,7 @@
         probes.extend(choice.echo.map(|number| (choice.balancer, number)));
         for (peer, number) in probes {
             if live.iter().any(|index| balancer(*index) == peer) {
-                paths.take_echo(peer, number);
+                paths.record_echo(peer, number);
             }
         }
         last = Some(choice.balancer);
@@ -99,7 +99,7 @@
     let number = probe
         .and_then(|choice| choice.echo)
         .expect("a probe is due");
-    paths.take_echo(dead, number);
+    paths.record_echo(dead, number);
     // The balancer dies here; the next answer comes too early to carry a probe.
     let answer = paths
         .choose(caller(1), ClockMillis::new(2_310))
--- a/src/balancer/packet_path.rs
+++ b/src/balancer/packet_path.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Sends the probes that are due to agents with doubtful or silent paths.
+    /// Sends the probes that are due to agents with unconfirmed or silent paths.
     pub(crate) fn send_due_probes(&self, scratch: &mut FrameScratch) {
         let probes = self.lock_paths().due_probes(self.clock.now());
         for (agent, choice) in probes {
@@ -159,7 +159,7 @@
             FrameKind::Answer => {
                 self.forward_answer(port, received.source, &header, payload, scratch);
             }
-            FrameKind::Echo => self.take_echo(received.source, &header),
+            FrameKind::Echo => self.record_echo(received.source, &header),
             FrameKind::Probe => self.send_echo(port, received.source, &header, scratch),
             FrameKind::Forward | FrameKind::PassOn | FrameKind::Peer | FrameKind::Leave => {
                 self.counters.increment(CounterKind::BadFrame);
@@ -177,7 +177,7 @@
         let now = self.clock.now();
         let ordered = {
             let paths = self.lock_paths();
-            chain.with_suspects_last(|target| paths.is_doubtful(target.address(), now))
+            chain.with_suspects_last(|target| paths.is_unconfirmed(target.address(), now))
         };
         if let Some((target, rest)) = ordered.split_first() {
             self.send_frame(service, target, rest, datagram, scratch);
@@ -256,9 +256,9 @@
         }
     }
 
-    fn take_echo(&self, agent: SocketAddrV4, header: &FrameHeader) {
+    fn record_echo(&self, agent: SocketAddrV4, header: &FrameHeader) {
         if let Some(number) = header.echo {
-            self.lock_paths().take_echo(agent, number);
+            self.lock_paths().record_echo(agent, number);
         }
     }
 
--- a/src/tunnel/path_health.rs
+++ b/src/tunnel/path_health.rs
@@ -30,8 +30,8 @@
 
     /// Returns the state of a new path to the same peer, which ignores older echoes.
     ///
-    /// It starts with one missed probe, so it is doubtful until it answers.
-    pub(crate) fn moved(self) -> Self {
+    /// It starts with one missed probe, so it is unconfirmed until it answers.
+    pub(crate) fn restarted(self) -> Self {
         Self {
             last_number: self.last_number,
             first_number: self.last_number.wrapping_add(1),
@@ -41,7 +41,7 @@
     }
 
     /// Returns whether the last probe went unanswered.
-    pub(crate) fn is_doubtful(&self, now: ClockMillis) -> bool {
+    pub(crate) fn is_unconfirmed(&self, now: ClockMillis) -> bool {
         let is_overdue = self.pending_number.is_some()
             && self
                 .probed_at
@@ -69,7 +69,7 @@
     /// Records an echo and returns whether it belongs to this path.
     ///
     /// A late echo counts too, since it shows that the path works.
-    pub(crate) fn take_echo(&mut self, number: u16) -> bool {
+    pub(crate) fn record_echo(&mut self, number: u16) -> bool {
         let is_of_this_path = number.wrapping_sub(self.first_number)
             <= self.last_number.wrapping_sub(self.first_number);
         if !is_of_this_path || self.probed_at.is_none() {
@@ -87,7 +87,7 @@
     ///
     /// With little traffic, piggybacked probes alone detect a silent path slowly:
     /// a lost handshake packet is retransmitted only after a second or more.
-    pub(crate) fn doubt_probe(&mut self, now: ClockMillis) -> Option<u16> {
+    pub(crate) fn confirmation_probe(&mut self, now: ClockMillis) -> Option<u16> {
         self.expire_probe(now);
         if self.missed_probes == 0 && !self.sent_since_probe {
             return None;
@@ -96,7 +96,7 @@
     }
 
     /// Returns the echo number of a due probe for a path that is avoided because it is silent.
-    pub(crate) fn rare_probe(&mut self, now: ClockMillis) -> Option<u16> {
+    pub(crate) fn slow_probe(&mut self, now: ClockMillis) -> Option<u16> {
         let is_due = self
             .probed_at
             .is_none_or(|probed_at| now.since(probed_at) >= SLOW_PROBE_INTERVAL_MILLIS);
--- a/src/tunnel/path_table.rs
+++ b/src/tunnel/path_table.rs
@@ -76,9 +76,9 @@
     }
 
     /// Records an echo from `peer`.
-    pub(crate) fn take_echo(&mut self, peer: SocketAddrV4, number: u16) {
+    pub(crate) fn record_echo(&mut self, peer: SocketAddrV4, number: u16) {
         if let Some(path) = self.peers.get_mut(&peer)
-            && path.health.take_echo(number)
+            && path.health.record_echo(number)
         {
             path.silent_ports = 0;
             path.is_suspect = false;
@@ -92,13 +92,13 @@
     }
 
     /// Returns whether new connections should prefer other peers.
-    pub(crate) fn is_doubtful(&self, peer: SocketAddrV4, now: ClockMillis) -> bool {
+    pub(crate) fn is_unconfirmed(&self, peer: SocketAddrV4, now: ClockMillis) -> bool {
         self.peers
             .get(&peer)
-            .is_some_and(|path| path.is_suspect || path.health.is_doubtful(now))
+            .is_some_and(|path| path.is_suspect || path.health.is_unconfirmed(now))
     }
 
-    /// Returns the doubtful and suspect peers that are due for a probe.
+    /// Returns the unconfirmed and suspect peers that are due for a probe.
     ///
     /// New connections avoid suspects, so only these probes detect their recovery.
     pub(crate) fn due_probes(&mut self, now: ClockMillis) -> Vec<(SocketAddrV4, PathChoice)> {
@@ -109,9 +109,9 @@
                 path.move_to_next_port(ports);
             }
             let echo = if path.is_suspect {
-                path.health.rare_probe(now)?
+                path.health.slow_probe(now)?
             } else {
-                path.health.doubt_probe(now)?
+                path.health.confirmation_probe(now)?
             };
             let choice = PathChoice {
                 port: path.port,
@@ -147,7 +147,7 @@
     fn move_to_next_port(&mut self, ports: usize) {
         self.port = (self.port + 1) % ports;
         self.silent_ports += 1;
-        self.health = self.health.moved();
+        self.health = self.health.restarted();
         if self.silent_ports >= ports {
             self.is_suspect = true;
         }
--- a/src/tunnel/tests.rs
+++ b/src/tunnel/tests.rs
@@ -72,7 +72,7 @@
         if let Some(number) = choice.echo
             && answers(port)
         {
-            table.take_echo(address(1), number);
+            table.record_echo(address(1), number);
         }
     }
     port
@@ -102,7 +102,7 @@
     let [(peer, choice)] = probes.as_slice() else {
         panic!("one probe was due, not {probes:?}");
     };
-    table.take_echo(*peer, choice.echo.expect("a probe asks for an echo"));
+    table.record_echo(*peer, choice.echo.expect("a probe asks for an echo"));
     assert!(!table.is_suspect(address(1)));
 }
 
@@ -112,7 +112,7 @@
     let late_echo = table.choose(address(1), ClockMillis::ORIGIN).echo;
     send_frames(&mut table, 50, 3_000, |_| false);
     assert!(table.is_suspect(address(1)));
-    table.take_echo(address(1), late_echo.expect("the first frame probes"));
+    table.record_echo(address(1), late_echo.expect("the first frame probes"));
     assert!(table.is_suspect(address(1)));
 }
 
@@ -125,12 +125,12 @@
 }
 
 #[test]
-fn an_unanswered_first_packet_makes_its_path_doubtful() {
+fn an_unanswered_first_packet_makes_its_path_unconfirmed() {
     let mut table = PathTable::new(2);
     table.choose(address(1), ClockMillis::ORIGIN);
-    assert!(!table.is_doubtful(address(1), ClockMillis::new(200)));
+    assert!(!table.is_unconfirmed(address(1), ClockMillis::new(200)));
     // Callers retransmit a first packet after a second.
-    assert!(table.is_doubtful(address(1), ClockMillis::new(1_000)));
+    assert!(table.is_unconfirmed(address(1), ClockMillis::new(1_000)));
 }
 
 #[test]
