--- a/src/agent/endpoint/frame_dispatch.rs
+++ b/src/agent/endpoint/frame_dispatch.rs
@@ -5,7 +5,7 @@
     agent::AgentEvent,
     event::log_event,
     key::TargetKey,
-    route::{ConnectionRoute, PacketHeader, PacketKind, TargetChain},
+    route::{ConnectionRoute, HeaderForm, PacketHeader, TargetChain},
     tunnel::{FrameHeader, FrameKind},
 };
 
@@ -137,7 +137,7 @@
         packet: &PacketHeader<'_>,
         datagram: &'a [u8],
     ) -> Option<(FrameHeader, &'a [u8])> {
-        if packet.kind == PacketKind::Short {
+        if packet.form == HeaderForm::Short {
             return Some((header, datagram));
         }
         let next_load = header
--- a/src/agent/endpoint/reset_writer.rs
+++ b/src/agent/endpoint/reset_writer.rs
@@ -5,7 +5,7 @@
 use super::EpochResetKey;
 use crate::{
     clock::{ClockMillis, SpanMillis},
-    route::{PacketHeader, PacketKind},
+    route::{HeaderForm, PacketHeader},
     secret::SecretStore,
 };
 
@@ -44,7 +44,7 @@
     /// within the minimum interval after another reset.
     pub(super) fn write(&self, datagram: &[u8], now: ClockMillis) -> Option<Vec<u8>> {
         let header = PacketHeader::read(datagram)?;
-        if header.kind == PacketKind::Long {
+        if header.form == HeaderForm::Long {
             return None;
         }
         let room = datagram.len().checked_sub(TOKEN_BYTES + 1)?;
--- a/src/balancer/forward_verdict.rs
+++ b/src/balancer/forward_verdict.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     key::{ServiceNumber, TargetKey},
-    route::{ConnectionRoute, PacketHeader, PacketKind, RouteTable, TargetChain},
+    route::{ConnectionRoute, HeaderForm, PacketHeader, RouteTable, TargetChain},
     secret::KeyRing,
 };
 
@@ -73,9 +73,9 @@
     length: usize,
 ) -> ForwardVerdict {
     if !header.can_open_connection(length) {
-        let cause = match header.kind {
-            PacketKind::Long => DropCause::NotQuic,
-            PacketKind::Short => DropCause::UnknownConnection,
+        let cause = match header.form {
+            HeaderForm::Long => DropCause::NotQuic,
+            HeaderForm::Short => DropCause::UnknownConnection,
         };
         return ForwardVerdict::Drop(cause);
     }
--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -15,7 +15,7 @@
 
 pub use connection_route::{CONNECTION_ID_BYTES, ConnectionRoute};
 pub use feed_update::{RouteChange, RouteDelta, RouteSnapshot};
-pub use packet_header::{PacketHeader, PacketKind};
+pub use packet_header::{HeaderForm, PacketHeader};
 pub use route_error::RouteError;
 pub use route_table::RouteTable;
 pub use service_pool::ServicePool;
--- a/src/route/packet_header.rs
+++ b/src/route/packet_header.rs
@@ -15,14 +15,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PacketHeader<'a> {
     /// Long or short header.
-    pub kind: PacketKind,
+    pub form: HeaderForm,
     /// The destination connection ID.
     pub destination: &'a [u8],
 }
 
 /// The form of a QUIC header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PacketKind {
+pub enum HeaderForm {
     /// Used during the handshake; contains the lengths of its connection IDs.
     Long,
     /// Used on an established connection; the connection ID length is implicit.
@@ -36,7 +36,7 @@
         let first = *datagram.first()?;
         if first & LONG_HEADER_BIT == 0 {
             return Some(Self {
-                kind: PacketKind::Short,
+                form: HeaderForm::Short,
                 destination: datagram.get(1..=CONNECTION_ID_BYTES)?,
             });
         }
@@ -46,7 +46,7 @@
         }
         let start = DESTINATION_LENGTH_OFFSET + 1;
         Some(Self {
-            kind: PacketKind::Long,
+            form: HeaderForm::Long,
             destination: datagram.get(start..start + length)?,
         })
     }
@@ -54,7 +54,7 @@
     /// Returns whether a datagram of `length` bytes with this header may open a connection.
     #[must_use]
     pub fn can_open_connection(&self, length: usize) -> bool {
-        self.kind == PacketKind::Long
+        self.form == HeaderForm::Long
             && self.destination.len() >= MIN_CHOSEN_ID_BYTES
             && length >= MIN_OPENING_DATAGRAM_BYTES
     }
