--- a/src/balancer/tests/datagram_verdicts.rs
+++ b/src/balancer/tests/datagram_verdicts.rs
@@ -68,7 +68,7 @@
         targets: vec![target(1, 1), target(1, 2), target(2, 1)],
         manifest_version: 1,
     };
-    table.replace(snapshot).expect("initial snapshot");
+    table.apply_snapshot(snapshot).expect("initial snapshot");
     table
 }
 
@@ -118,7 +118,7 @@
         ],
         manifest_version: 1,
     };
-    table.update(&removal_delta).expect("the next delta");
+    table.apply_delta(&removal_delta).expect("the next delta");
     assert_eq!(
         decide_datagram(&table, &keys, address(1), &datagram),
         expected
--- a/src/lab/cost/packet_cost.rs
+++ b/src/lab/cost/packet_cost.rs
@@ -43,7 +43,7 @@
     effort: CostEffort,
 ) -> Result<CostResult, LabError> {
     let mut table = RouteTable::new();
-    table.replace(snapshot_of(services, targets))?;
+    table.apply_snapshot(snapshot_of(services, targets))?;
     let packets: Vec<_> = (0..PACKETS)
         .map(|round| {
             let index = round * 97 % targets;
@@ -74,7 +74,7 @@
     effort: CostEffort,
 ) -> Result<CostResult, LabError> {
     let mut table = RouteTable::new();
-    table.replace(snapshot_of(1, targets))?;
+    table.apply_snapshot(snapshot_of(1, targets))?;
     let packets: Vec<Vec<u8>> = (0..PACKETS)
         .map(|round| {
             let mut datagram = vec![0xc0, 0, 0, 0, 1, 8];
--- a/src/lab/cost/relay_cost.rs
+++ b/src/lab/cost/relay_cost.rs
@@ -298,7 +298,7 @@
     let mut header = vec![0x40];
     header.extend_from_slice(&route.seal(&secret.keys()));
     let mut table = RouteTable::new();
-    table.replace(RouteSnapshot {
+    table.apply_snapshot(RouteSnapshot {
         revision: FeedRevision::new(1),
         services: vec![service],
         targets: vec![target],
--- a/src/lab/cost/route_cost.rs
+++ b/src/lab/cost/route_cost.rs
@@ -75,7 +75,7 @@
     for start in (0..count).step_by(CHANGES_PER_DELTA) {
         let end = count.min(start + CHANGES_PER_DELTA);
         let changes = (start..end).map(&change).collect();
-        table.update(&delta_of(table.revision().count(), changes))?;
+        table.apply_delta(&delta_of(table.revision().count(), changes))?;
     }
     Ok(())
 }
@@ -98,7 +98,8 @@
         );
         // A balancer keeps the old table for its packet path during the update.
         let mut copy = next.clone();
-        copy.update(&delta).expect("the delta follows the table");
+        copy.apply_delta(&delta)
+            .expect("the delta follows the table");
         next = copy;
     });
     let after = resident_bytes()?;
@@ -158,7 +159,7 @@
     let nanos = nanos_per_call(rounds, |_| {
         let mut table = RouteTable::new();
         if let Some(copy) = copies.pop() {
-            table.replace(copy).expect("the table is empty");
+            table.apply_snapshot(copy).expect("the table is empty");
         }
         black_box(&table);
     });
--- a/src/route/route_table.rs
+++ b/src/route/route_table.rs
@@ -98,7 +98,7 @@
     /// # Errors
     ///
     /// Fails when the snapshot is older than the table.
-    pub fn replace(&mut self, snapshot: RouteSnapshot) -> Result<(), RouteError> {
+    pub fn apply_snapshot(&mut self, snapshot: RouteSnapshot) -> Result<(), RouteError> {
         if snapshot.revision < self.revision {
             return Err(RouteError::Outdated {
                 in_force: self.revision,
@@ -127,7 +127,7 @@
     /// # Errors
     ///
     /// Fails without a change when the delta is outdated or leaves a gap.
-    pub fn update(&mut self, delta: &RouteDelta) -> Result<(), RouteError> {
+    pub fn apply_delta(&mut self, delta: &RouteDelta) -> Result<(), RouteError> {
         if delta.revision < self.revision {
             return Err(RouteError::Outdated {
                 in_force: self.revision,
@@ -152,7 +152,7 @@
     }
 
     /// Advances to `revision` after the feed reported no change in scope; never goes back.
-    pub fn confirm(&mut self, revision: FeedRevision) {
+    pub fn advance_to(&mut self, revision: FeedRevision) {
         self.revision = self.revision.max(revision);
     }
 
--- a/src/route/tests/chain_choice.rs
+++ b/src/route/tests/chain_choice.rs
@@ -21,7 +21,7 @@
 fn table_of(targets: Vec<TargetRoute>) -> RouteTable {
     let mut table = RouteTable::new();
     table
-        .replace(sample_snapshot(targets))
+        .apply_snapshot(sample_snapshot(targets))
         .expect("initial snapshot");
     table
 }
--- a/src/route/tests/table_updates.rs
+++ b/src/route/tests/table_updates.rs
@@ -38,7 +38,7 @@
 fn an_outdated_update_is_refused() {
     let mut table = RouteTable::new();
     table
-        .replace(sample_snapshot(Vec::new()))
+        .apply_snapshot(sample_snapshot(Vec::new()))
         .expect("initial snapshot");
     let outdated_delta = delta(
         3,
@@ -46,7 +46,7 @@
         vec![RouteChange::ServiceRemoved(ServiceNumber::new(1))],
     );
     assert!(matches!(
-        table.update(&outdated_delta),
+        table.apply_delta(&outdated_delta),
         Err(RouteError::Outdated { .. })
     ));
     let outdated_snapshot = RouteSnapshot {
@@ -54,7 +54,7 @@
         ..sample_snapshot(Vec::new())
     };
     assert!(matches!(
-        table.replace(outdated_snapshot),
+        table.apply_snapshot(outdated_snapshot),
         Err(RouteError::Outdated { .. })
     ));
     assert!(table.pool(ServiceNumber::new(1)).is_some());
@@ -64,9 +64,9 @@
 fn an_update_with_a_gap_is_refused() {
     let mut table = RouteTable::new();
     table
-        .replace(sample_snapshot(Vec::new()))
+        .apply_snapshot(sample_snapshot(Vec::new()))
         .expect("initial snapshot");
-    let error = table.update(&delta(11, 12, Vec::new()));
+    let error = table.apply_delta(&delta(11, 12, Vec::new()));
     assert!(matches!(error, Err(RouteError::Gap { .. })));
 }
 
@@ -74,7 +74,7 @@
 fn two_services_may_swap_their_addresses_in_one_update() {
     let mut table = RouteTable::new();
     table
-        .replace(sample_snapshot(Vec::new()))
+        .apply_snapshot(sample_snapshot(Vec::new()))
         .expect("initial snapshot");
     let (mut one, mut two) = (sample_service(1), sample_service(2));
     std::mem::swap(&mut one.spec.address, &mut two.spec.address);
@@ -83,7 +83,7 @@
         RouteChange::ServiceSet(two.clone()),
     ];
     table
-        .update(&delta(10, 11, changes))
+        .apply_delta(&delta(10, 11, changes))
         .expect("the next delta");
     assert_eq!(table.service_at(one.spec.address), Some(one.number));
     assert_eq!(table.service_at(two.spec.address), Some(two.number));
@@ -97,7 +97,7 @@
     #[test]
     fn deltas_and_a_snapshot_build_the_same_table(steps in prop::collection::vec(any_change(), 0..60)) {
         let mut table = RouteTable::new();
-        table.replace(sample_snapshot(Vec::new())).expect("initial snapshot");
+        table.apply_snapshot(sample_snapshot(Vec::new())).expect("initial snapshot");
         let mut expected: Vec<TargetRoute> = Vec::new();
         for (revision, (set, service, index, domain)) in (10..).zip(steps) {
             let target = sample_target(service, index, ["a", "b", "c"][domain]);
@@ -108,10 +108,10 @@
             } else {
                 RouteChange::TargetRemoved(target.key)
             };
-            table.update(&delta(revision, revision + 1, vec![change])).expect("consecutive deltas");
+            table.apply_delta(&delta(revision, revision + 1, vec![change])).expect("consecutive deltas");
         }
         let mut rebuilt = RouteTable::new();
-        rebuilt.replace(sample_snapshot(expected)).expect("initial snapshot");
+        rebuilt.apply_snapshot(sample_snapshot(expected)).expect("initial snapshot");
         prop_assert_eq!(all_targets(&table), all_targets(&rebuilt));
         for draw in 0u64..40 {
             for number in [1, 2].map(ServiceNumber::new) {
--- a/src/watch/route_watch.rs
+++ b/src/watch/route_watch.rs
@@ -145,10 +145,10 @@
 fn update_table(table: &mut RouteTable, reply: FeedReply) -> Result<(), RouteError> {
     match reply {
         FeedReply::Unchanged { revision } => {
-            table.confirm(revision);
+            table.advance_to(revision);
             Ok(())
         }
-        FeedReply::Delta(delta) => table.update(&delta),
-        FeedReply::Snapshot(snapshot) => table.replace(snapshot),
+        FeedReply::Delta(delta) => table.apply_delta(&delta),
+        FeedReply::Snapshot(snapshot) => table.apply_snapshot(snapshot),
     }
 }
