--- a/src/balancer/balancer_node.rs
+++ b/src/balancer/balancer_node.rs
@@ -7,7 +7,7 @@
 
 use super::{
     BalancerEvent, BalancerSettings, ListenerSet, PacketPath, PacketTotals,
-    packet_path::FrameScratch,
+    packet_path::FrameBuffer,
 };
 use crate::{
     admin::AdminError,
@@ -158,11 +158,11 @@
     /// Shuts down gracefully: agents switch to other balancers for their answers,
     /// and callers' datagrams are forwarded until no more arrive.
     pub async fn leave(&self) {
-        let mut scratch = FrameScratch::default();
+        let mut frame_buffer = FrameBuffer::default();
         let mut forwarded = self.forwarded_count();
         for _ in 0..MAX_LEAVE_ROUNDS {
             // Each forwarded datagram makes its agent use this balancer again.
-            self.path.announce_leave(&mut scratch);
+            self.path.announce_leave(&mut frame_buffer);
             tokio::time::sleep(LEAVE_ROUND_MILLIS.duration()).await;
             let now = self.forwarded_count();
             if now == forwarded {
@@ -216,11 +216,11 @@
 /// Receives agents' frames on one tunnel socket.
 async fn run_tunnel(path: Arc<PacketPath>, port: usize) {
     let mut buffers = ReceiveBuffers::new();
-    let mut scratch = FrameScratch::default();
+    let mut frame_buffer = FrameBuffer::default();
     loop {
         let received = path.tunnel_sockets()[port]
             .receive(&mut buffers, |datagram| {
-                path.handle_frame(port, &datagram, &mut scratch);
+                path.handle_frame(port, &datagram, &mut frame_buffer);
             })
             .await;
         pause_after_error(received).await;
@@ -234,11 +234,11 @@
     socket: Arc<DatagramSocket>,
 ) {
     let mut buffers = ReceiveBuffers::new();
-    let mut scratch = FrameScratch::default();
+    let mut frame_buffer = FrameBuffer::default();
     while listeners.contains(&socket) {
         let received = socket.receive(&mut buffers, |datagram| {
             if let Some(arrived_at) = listeners.arrived_at(&socket, &datagram) {
-                path.forward(arrived_at, &datagram, &mut scratch);
+                path.forward(arrived_at, &datagram, &mut frame_buffer);
             }
         });
         tokio::select! {
@@ -264,12 +264,12 @@
 ) {
     let mut revisions = state.subscribe();
     let mut tasks = JoinSet::new();
-    let mut scratch = FrameScratch::default();
+    let mut frame_buffer = FrameBuffer::default();
     loop {
         let table = state.table().load_full();
         log_event!(debug, BalancerEvent::TableChanged, revision = %table.revision());
         let addresses_by_port = service_ports(&table);
-        let change = listeners.change(addresses_by_port);
+        let change = listeners.reconcile(addresses_by_port);
         for port in change.closed {
             log_event!(info, BalancerEvent::ListenerClosed, port);
         }
@@ -277,7 +277,7 @@
             log_event!(error, BalancerEvent::ListenerFailed, port, %error);
         }
         for socket in change.opened {
-            log_event!(info, BalancerEvent::ListenerOpened, address = %socket.local());
+            log_event!(info, BalancerEvent::ListenerOpened, address = %socket.local_address());
             tasks.spawn(run_listener(
                 Arc::clone(&path),
                 Arc::clone(&listeners),
@@ -289,7 +289,7 @@
             () = tokio::time::sleep(HOUSEKEEPING_MILLIS.duration()) => {
                 path.remove_idle_paths();
                 path.counters().totals().publish();
-                path.send_due_probes(&mut scratch);
+                path.send_due_probes(&mut frame_buffer);
             }
         }
         while tasks.try_join_next().is_some() {}
--- a/src/balancer/listener_set.rs
+++ b/src/balancer/listener_set.rs
@@ -45,7 +45,10 @@
     /// Opens the sockets of new ports and removes those of other ports.
     ///
     /// `addresses_by_port` contains a service address for each port to keep open.
-    pub(crate) fn change(&self, addresses_by_port: BTreeMap<u16, SocketAddrV4>) -> ListenerChange {
+    pub(crate) fn reconcile(
+        &self,
+        addresses_by_port: BTreeMap<u16, SocketAddrV4>,
+    ) -> ListenerChange {
         let ip = self.listen_ip.unwrap_or(Ipv4Addr::UNSPECIFIED);
         let mut change = ListenerChange::default();
         let mut sockets = self.open.load().sockets.clone();
@@ -82,7 +85,7 @@
         socket: &DatagramSocket,
         datagram: &ReceivedDatagram<'_>,
     ) -> Option<SocketAddrV4> {
-        let port = socket.local().port();
+        let port = socket.local_address().port();
         match self.listen_ip {
             Some(_) => self.open.load().addresses_by_port.get(&port).copied(),
             None => datagram.local_ip.map(|ip| SocketAddrV4::new(ip, port)),
@@ -117,7 +120,7 @@
     pub(crate) fn contains(&self, socket: &Arc<DatagramSocket>) -> bool {
         let open = self.open.load();
         open.sockets
-            .get(&socket.local().port())
+            .get(&socket.local_address().port())
             .is_some_and(|held| Arc::ptr_eq(held, socket))
     }
 
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -20,7 +20,7 @@
 pub(crate) use balancer_event::BalancerEvent;
 pub(crate) use listener_set::ListenerSet;
 pub(crate) use packet_counters::PacketCounters;
-pub(crate) use packet_path::{FrameScratch, PacketPath};
+pub(crate) use packet_path::{FrameBuffer, PacketPath};
 
 #[cfg(test)]
 mod tests;
--- a/src/balancer/packet_path.rs
+++ b/src/balancer/packet_path.rs
@@ -33,7 +33,7 @@
 
 /// Reusable frame buffer of one task.
 #[derive(Debug, Default)]
-pub(crate) struct FrameScratch {
+pub(crate) struct FrameBuffer {
     frame: Vec<u8>,
 }
 
@@ -85,30 +85,36 @@
     }
 
     /// Tells the agents in use to send their answers through other balancers.
-    pub(crate) fn announce_leave(&self, scratch: &mut FrameScratch) {
+    pub(crate) fn announce_leave(&self, frame_buffer: &mut FrameBuffer) {
         let peers = self.lock_paths().peers();
         for (agent, port) in peers {
             FrameHeader::new(FrameKind::Leave, ServiceNumber::new(0), agent).write(
                 &[],
                 &self.secret.keys(),
-                &mut scratch.frame,
+                &mut frame_buffer.frame,
             );
             let socket = &self.tunnel_sockets[port];
-            if socket.try_send(agent, &scratch.frame, 0, None).is_err() {
+            if socket
+                .try_send(agent, &frame_buffer.frame, 0, None)
+                .is_err()
+            {
                 self.counters.increment(CounterKind::Unsent);
             }
         }
     }
 
     /// Sends the probes that are due to agents with unconfirmed or silent paths.
-    pub(crate) fn send_due_probes(&self, scratch: &mut FrameScratch) {
+    pub(crate) fn send_due_probes(&self, frame_buffer: &mut FrameBuffer) {
         let probes = self.lock_paths().due_probes(self.clock.now());
         for (agent, choice) in probes {
             FrameHeader::new(FrameKind::Probe, ServiceNumber::new(0), agent)
                 .with_echo(choice.echo)
-                .write(&[], &self.secret.keys(), &mut scratch.frame);
+                .write(&[], &self.secret.keys(), &mut frame_buffer.frame);
             let socket = &self.tunnel_sockets[choice.port];
-            if socket.try_send(agent, &scratch.frame, 0, None).is_err() {
+            if socket
+                .try_send(agent, &frame_buffer.frame, 0, None)
+                .is_err()
+            {
                 self.counters.increment(CounterKind::Unsent);
             }
         }
@@ -119,7 +125,7 @@
         &self,
         arrived_at: SocketAddrV4,
         datagram: &ReceivedDatagram<'_>,
-        scratch: &mut FrameScratch,
+        frame_buffer: &mut FrameBuffer,
     ) {
         let verdict = {
             let table = self.table.load();
@@ -129,11 +135,11 @@
         match verdict {
             ForwardVerdict::Known { service, target } => {
                 self.counters.increment(CounterKind::Known);
-                self.send_frame(service, target, TargetChain::new(), datagram, scratch);
+                self.send_frame(service, target, TargetChain::new(), datagram, frame_buffer);
             }
             ForwardVerdict::First { service, chain } => {
                 self.counters.increment(CounterKind::First);
-                self.send_first_packet(service, chain, datagram, scratch);
+                self.send_first_packet(service, chain, datagram, frame_buffer);
             }
             ForwardVerdict::Drop(cause) => self.drop_datagram(cause, arrived_at, datagram),
         }
@@ -144,7 +150,7 @@
         &self,
         port: usize,
         received: &ReceivedDatagram<'_>,
-        scratch: &mut FrameScratch,
+        frame_buffer: &mut FrameBuffer,
     ) {
         let read = FrameHeader::read(received.payload, &self.secret.keys());
         let (header, payload) = match read {
@@ -157,10 +163,10 @@
         };
         match header.kind {
             FrameKind::Answer => {
-                self.forward_answer(port, received.source, &header, payload, scratch);
+                self.forward_answer(port, received.source, &header, payload, frame_buffer);
             }
             FrameKind::Echo => self.record_echo(received.source, &header),
-            FrameKind::Probe => self.send_echo(port, received.source, &header, scratch),
+            FrameKind::Probe => self.send_echo(port, received.source, &header, frame_buffer),
             FrameKind::Forward | FrameKind::PassOn | FrameKind::Peer | FrameKind::Leave => {
                 self.counters.increment(CounterKind::BadFrame);
             }
@@ -172,7 +178,7 @@
         service: ServiceNumber,
         chain: TargetChain,
         datagram: &ReceivedDatagram<'_>,
-        scratch: &mut FrameScratch,
+        frame_buffer: &mut FrameBuffer,
     ) {
         let now = self.clock.now();
         let ordered = {
@@ -180,7 +186,7 @@
             chain.with_suspects_last(|target| paths.is_unconfirmed(target.address(), now))
         };
         if let Some((target, rest)) = ordered.split_first() {
-            self.send_frame(service, target, rest, datagram, scratch);
+            self.send_frame(service, target, rest, datagram, frame_buffer);
         }
     }
 
@@ -190,7 +196,7 @@
         target: TargetKey,
         rest: TargetChain,
         datagram: &ReceivedDatagram<'_>,
-        scratch: &mut FrameScratch,
+        frame_buffer: &mut FrameBuffer,
     ) {
         let choice = self.lock_paths().choose(target.address(), self.clock.now());
         if choice.moved {
@@ -201,10 +207,14 @@
             .with_chain(rest)
             .with_echo(choice.echo)
             .with_ecn(datagram.ecn)
-            .write(datagram.payload, &self.secret.keys(), &mut scratch.frame);
+            .write(
+                datagram.payload,
+                &self.secret.keys(),
+                &mut frame_buffer.frame,
+            );
         let socket = &self.tunnel_sockets[choice.port];
         if socket
-            .try_send(target.address(), &scratch.frame, datagram.ecn, None)
+            .try_send(target.address(), &frame_buffer.frame, datagram.ecn, None)
             .is_err()
         {
             self.counters.increment(CounterKind::Unsent);
@@ -217,9 +227,9 @@
         agent: SocketAddrV4,
         header: &FrameHeader,
         payload: &[u8],
-        scratch: &mut FrameScratch,
+        frame_buffer: &mut FrameBuffer,
     ) {
-        self.send_echo(port, agent, header, scratch);
+        self.send_echo(port, agent, header, frame_buffer);
         let table = self.table.load();
         let Some(pool) = table.pool(header.service) else {
             self.counters.increment_drop(DropCause::UnknownAddress);
@@ -240,16 +250,16 @@
         port: usize,
         agent: SocketAddrV4,
         header: &FrameHeader,
-        scratch: &mut FrameScratch,
+        frame_buffer: &mut FrameBuffer,
     ) {
         if header.echo.is_none() {
             return;
         }
         FrameHeader::new(FrameKind::Echo, header.service, header.caller)
             .with_echo(header.echo)
-            .write(&[], &self.secret.keys(), &mut scratch.frame);
+            .write(&[], &self.secret.keys(), &mut frame_buffer.frame);
         if self.tunnel_sockets[port]
-            .try_send(agent, &scratch.frame, 0, None)
+            .try_send(agent, &frame_buffer.frame, 0, None)
             .is_err()
         {
             self.counters.increment(CounterKind::Unsent);
--- a/src/lab/cost/relay_cost.rs
+++ b/src/lab/cost/relay_cost.rs
@@ -19,7 +19,7 @@
     sample_routes::{service_route, target_route},
 };
 use crate::{
-    balancer::{FrameScratch, ListenerSet, PacketPath},
+    balancer::{FrameBuffer, ListenerSet, PacketPath},
     key::{FeedRevision, TargetKey},
     lab::LabError,
     route::{ConnectionRoute, RouteSnapshot, RouteTable},
@@ -221,7 +221,7 @@
     let any = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
     let socket = DatagramSocket::bind(any)?;
     let out = DatagramSocket::bind(any)?;
-    let address = socket.local();
+    let address = socket.local_address();
     let header = vec![0x40];
     // The trial ends by itself if the receiver is gone.
     let _ = ready.send(RelayEndpoint { address, header });
@@ -248,7 +248,7 @@
     let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
     let (table, header) = sink_routes(address, sink, &secret)?;
     let listeners = Arc::new(ListenerSet::new(Some(Ipv4Addr::LOCALHOST)));
-    let change = listeners.change(BTreeMap::from([(port, address)]));
+    let change = listeners.reconcile(BTreeMap::from([(port, address)]));
     let socket = change
         .opened
         .into_iter()
@@ -264,13 +264,13 @@
     // The trial ends by itself if the receiver is gone.
     let _ = ready.send(RelayEndpoint { address, header });
     let mut buffers = ReceiveBuffers::new();
-    let mut scratch = FrameScratch::default();
+    let mut frame_buffer = FrameBuffer::default();
     let start = thread_cpu_nanos()?;
     while !is_done.load(Ordering::Relaxed) {
         socket
             .receive(&mut buffers, |datagram| {
                 if let Some(arrived_at) = listeners.arrived_at(&socket, &datagram) {
-                    path.forward(arrived_at, &datagram, &mut scratch);
+                    path.forward(arrived_at, &datagram, &mut frame_buffer);
                 }
             })
             .await?;
--- a/src/tunnel/datagram_socket.rs
+++ b/src/tunnel/datagram_socket.rs
@@ -30,7 +30,7 @@
 pub(crate) struct DatagramSocket {
     io: UdpSocket,
     state: UdpSocketState,
-    local: SocketAddrV4,
+    local_address: SocketAddrV4,
 }
 
 /// Reusable buffers of one receiving task.
@@ -65,15 +65,19 @@
         socket.set_nonblocking(true)?;
         let state = UdpSocketState::new((&socket).into())?;
         let io = UdpSocket::from_std(socket.into())?;
-        let SocketAddr::V4(local) = io.local_addr()? else {
+        let SocketAddr::V4(local_address) = io.local_addr()? else {
             return Err(io::ErrorKind::AddrNotAvailable.into());
         };
-        Ok(Self { io, state, local })
+        Ok(Self {
+            io,
+            state,
+            local_address,
+        })
     }
 
     /// Returns the address that the socket is bound to.
-    pub(crate) fn local(&self) -> SocketAddrV4 {
-        self.local
+    pub(crate) fn local_address(&self) -> SocketAddrV4 {
+        self.local_address
     }
 
     /// Waits for datagrams and calls `handle` for each datagram of a batch.
