--- a/src/balancer/tests/datagram_verdicts.rs
+++ b/src/balancer/tests/datagram_verdicts.rs
@@ -110,7 +110,7 @@
         expected
     );
     let removal_delta = RouteDelta {
-        after: FeedRevision::new(1),
+        base_revision: FeedRevision::new(1),
         revision: FeedRevision::new(2),
         changes: vec![
             RouteChange::TargetRemoved(target(1, 1).key),
--- a/src/control/feed/change_history.rs
+++ b/src/control/feed/change_history.rs
@@ -85,12 +85,12 @@
     pub(crate) fn delta(
         &self,
         scope: FeedScope,
-        after: FeedRevision,
+        base_revision: FeedRevision,
         byte_limit: usize,
     ) -> Option<RouteDelta> {
-        let offset = self.offset_after(after)?;
+        let offset = self.offset_after(base_revision)?;
         let mut builder = DeltaBuilder::new(scope);
-        let mut revision = after;
+        let mut revision = base_revision;
         let mut manifest_version = 0;
         for entry in self.revisions.range(offset..) {
             if builder.bytes() >= byte_limit {
@@ -101,7 +101,7 @@
             manifest_version = entry.manifest_version;
         }
         Some(RouteDelta {
-            after,
+            base_revision,
             revision,
             changes: builder.finish(),
             manifest_version,
--- a/src/control/feed/tests/convergence.rs
+++ b/src/control/feed/tests/convergence.rs
@@ -76,7 +76,7 @@
         };
         match serde_json::from_str(reply.text.get()).expect("a valid reply") {
             FeedReply::Delta(delta) => {
-                assert_eq!(delta.after, *in_force);
+                assert_eq!(delta.base_revision, *in_force);
                 assert!(delta.revision > *in_force);
                 *in_force = delta.revision;
                 routes.execute(delta);
--- a/src/lab/cost/sample_routes.rs
+++ b/src/lab/cost/sample_routes.rs
@@ -69,10 +69,10 @@
 }
 
 /// Returns the delta from revision `after` to the next one.
-pub(super) fn delta_of(after: u64, changes: Vec<RouteChange>) -> RouteDelta {
+pub(super) fn delta_of(base_revision: u64, changes: Vec<RouteChange>) -> RouteDelta {
     RouteDelta {
-        after: FeedRevision::new(after),
-        revision: FeedRevision::new(after + 1),
+        base_revision: FeedRevision::new(base_revision),
+        revision: FeedRevision::new(base_revision + 1),
         changes,
         manifest_version: 1,
     }
--- a/src/route/feed_update.rs
+++ b/src/route/feed_update.rs
@@ -21,7 +21,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteDelta {
     /// The revision that the changes apply to.
-    pub after: FeedRevision,
+    #[serde(rename = "after")]
+    pub base_revision: FeedRevision,
     /// The revision after the changes.
     pub revision: FeedRevision,
     /// The changes in commit order.
--- a/src/route/route_error.rs
+++ b/src/route/route_error.rs
@@ -15,11 +15,11 @@
         offered: FeedRevision,
     },
     /// The update applies to a revision that the table has not reached.
-    #[error("route update applies to {after}, but the table is only at {in_force}")]
+    #[error("route update applies to {base_revision}, but the table is only at {in_force}")]
     Gap {
         /// The revision of the table.
         in_force: FeedRevision,
         /// The revision that the update applies to.
-        after: FeedRevision,
+        base_revision: FeedRevision,
     },
 }
--- a/src/route/route_table.rs
+++ b/src/route/route_table.rs
@@ -134,10 +134,10 @@
                 offered: delta.revision,
             });
         }
-        if delta.after > self.revision {
+        if delta.base_revision > self.revision {
             return Err(RouteError::Gap {
                 in_force: self.revision,
-                after: delta.after,
+                base_revision: delta.base_revision,
             });
         }
         let mut changed_services = BTreeSet::new();
--- a/src/route/tests/table_updates.rs
+++ b/src/route/tests/table_updates.rs
@@ -8,9 +8,9 @@
     route::{RouteChange, RouteDelta, RouteError, RouteSnapshot, RouteTable, TargetRoute},
 };
 
-fn delta(after: u64, revision: u64, changes: Vec<RouteChange>) -> RouteDelta {
+fn delta(base_revision: u64, revision: u64, changes: Vec<RouteChange>) -> RouteDelta {
     RouteDelta {
-        after: FeedRevision::new(after),
+        base_revision: FeedRevision::new(base_revision),
         revision: FeedRevision::new(revision),
         changes,
         manifest_version: 1,
