--- a/src/admin/admin_client.rs
+++ b/src/admin/admin_client.rs
@@ -17,7 +17,7 @@
 use crate::{
     agent::drain::DrainReport,
     control::api::StatusRequest,
-    proof::{SignLayer, SignService},
+    proof::{ClientProofLayer, ClientProofService},
     secret::SecretStore,
 };
 
@@ -25,7 +25,7 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A JSON-RPC client that signs its requests and verifies the responses.
-type SignedClient = HttpClient<RpcLogger<RpcService<SignService<HttpBackend>>>>;
+type SignedClient = HttpClient<RpcLogger<RpcService<ClientProofService<HttpBackend>>>>;
 
 /// A client of the admin address of one process.
 pub(crate) struct AdminClient {
@@ -38,11 +38,11 @@
     pub(crate) fn new(address: SocketAddrV4, secret: SecretStore) -> Result<Self, AdminError> {
         let address = SocketAddr::V4(address);
         let body_limit = usize::try_from(MAX_RESPONSE_BYTES).unwrap_or(usize::MAX);
-        let sign = SignLayer::new(secret, body_limit);
+        let layer = ClientProofLayer::new(secret, body_limit);
         let client = HttpClientBuilder::default()
             .request_timeout(RESPONSE_TIMEOUT)
             .max_response_size(MAX_RESPONSE_BYTES)
-            .set_http_middleware(tower::ServiceBuilder::new().layer(sign))
+            .set_http_middleware(tower::ServiceBuilder::new().layer(layer))
             .build(format!("http://{address}"))
             .map_err(|cause| AdminError::Client {
                 address,
--- a/src/admin/admin_server.rs
+++ b/src/admin/admin_server.rs
@@ -7,7 +7,7 @@
 };
 
 use super::{AdminError, AdminMethod, AdminSource, DrainCommand, DrainRequest};
-use crate::{proof::ProofLayer, secret::SecretStore};
+use crate::{proof::ServerProofLayer, secret::SecretStore};
 
 /// The largest request in bytes.
 const MAX_REQUEST_BYTES: u32 = 64 * 1024;
@@ -49,7 +49,7 @@
             .http_only()
             .build();
         let body_limit = usize::try_from(MAX_REQUEST_BYTES).unwrap_or(usize::MAX);
-        let proof = ProofLayer::new(secret, body_limit);
+        let proof = ServerProofLayer::new(secret, body_limit);
         let server = Server::builder()
             .set_config(config)
             .set_http_middleware(tower::ServiceBuilder::new().layer(proof))
--- a/src/agent/relay/peer_head.rs
+++ b/src/agent/relay/peer_head.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     agent::claim::ClaimKey,
-    proof::{CALL_HEADER, CallLine, CallProof, ProofError, wall_now},
+    proof::{CALL_HEADER, CallHead, CallProof, ProofError, wall_now},
     secret::KeyRing,
 };
 
@@ -70,11 +70,11 @@
             headers.insert(CLAIM_HEADER, value);
         }
         let path = signed_path(uri, headers);
-        let line = CallLine {
+        let head = CallHead {
             method: method.as_str(),
             path: &path,
         };
-        let proof = CallProof::new(ring.active(), line, body, wall_now(), rand::random());
+        let proof = CallProof::new(ring.active(), head, body, wall_now(), rand::random());
         if let Ok(value) = HeaderValue::from_str(&proof.to_string()) {
             headers.insert(CALL_HEADER, value);
         }
@@ -93,11 +93,11 @@
         let proof = headers.remove(CALL_HEADER).ok_or(ProofError::Missing)?;
         let text = proof.to_str().map_err(|_| ProofError::Malformed)?;
         let proof = CallProof::parse(text)?;
-        let line = CallLine {
+        let head = CallHead {
             method: method.as_str(),
             path: &path,
         };
-        proof.verify(ring, line, wall_now())?;
+        proof.verify(ring, head, wall_now())?;
         let purpose = PeerPurpose::remove_from(headers).ok_or(PeerHeadError::Purpose)?;
         let nonce = proof.nonce();
         Ok((Self { purpose, nonce }, proof))
--- a/src/control/client/replica_client.rs
+++ b/src/control/client/replica_client.rs
@@ -16,7 +16,7 @@
 use crate::{
     clock::SpanMillis,
     control::api::{CallName, MAX_REPLY_BYTES, MAX_REQUEST_BYTES},
-    proof::{SignLayer, SignService},
+    proof::{ClientProofLayer, ClientProofService},
     secret::SecretStore,
 };
 
@@ -26,7 +26,7 @@
 /// An HTTP client with its connections to one replica.
 #[derive(Debug)]
 pub(super) struct ReplicaClient {
-    client: HttpClient<RpcService<SignService<HttpBackend>>>,
+    client: HttpClient<RpcService<ClientProofService<HttpBackend>>>,
 }
 
 /// A call with its parameters, encoded once for all attempts.
@@ -57,7 +57,7 @@
         address: SocketAddrV4,
         secret: SecretStore,
     ) -> Result<Self, ReplicaCallError> {
-        let layer = SignLayer::new(secret, MAX_REPLY_BYTES);
+        let layer = ClientProofLayer::new(secret, MAX_REPLY_BYTES);
         let client = HttpClientBuilder::new()
             .max_request_size(u32::try_from(MAX_REQUEST_BYTES).unwrap_or(u32::MAX))
             .max_response_size(u32::try_from(MAX_REPLY_BYTES).unwrap_or(u32::MAX))
--- a/src/control/server/control_server.rs
+++ b/src/control/server/control_server.rs
@@ -15,7 +15,7 @@
 use crate::{
     clock::SpanMillis,
     control::api::{MAX_REPLY_BYTES, MAX_REQUEST_BYTES},
-    proof::ProofLayer,
+    proof::ServerProofLayer,
     secret::SecretStore,
 };
 
@@ -79,7 +79,7 @@
             .set_batch_request_config(BatchRequestConfig::Disabled)
             .set_first_request_timeout(Some(FIRST_CALL_TIMEOUT_MILLIS.duration()))
             .build();
-        let layer = ProofLayer::new(secret, MAX_REQUEST_BYTES);
+        let layer = ServerProofLayer::new(secret, MAX_REQUEST_BYTES);
         let server = Server::builder()
             .set_config(config)
             .set_http_middleware(tower::ServiceBuilder::new().layer(layer))
--- a/src/lab/cost/agent_cost.rs
+++ b/src/lab/cost/agent_cost.rs
@@ -13,7 +13,7 @@
     clock::ClockMillis,
     lab::LabError,
     manifest::RequestPriority,
-    proof::{CallLine, CallProof},
+    proof::{CallHead, CallProof},
     secret::{DeploymentSecret, KeyRing},
 };
 
@@ -106,15 +106,15 @@
 }
 
 fn measure_proofs(keys: &KeyRing, rounds: usize) -> CostResult {
-    let line = CallLine {
+    let head = CallHead {
         method: "POST",
         path: "/",
     };
     let body = [b' '; 200];
     let time = ClockMillis::new(1_000);
     let nanos = nanos_per_call(rounds.max(1), |round| {
-        let proof = CallProof::new(keys.active(), line, &body, time, round as u64);
-        black_box(proof.verify(keys, line, time).is_ok());
+        let proof = CallProof::new(keys.active(), head, &body, time, round as u64);
+        black_box(proof.verify(keys, head, time).is_ok());
         black_box(proof.verify_body(&body).is_ok());
     });
     let measure = "proof of a call of 200 bytes, signed and verified";
--- a/src/proof/call_proof.rs
+++ b/src/proof/call_proof.rs
@@ -20,7 +20,7 @@
 
 /// The part of the HTTP request line that the MAC of a call covers.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct CallLine<'a> {
+pub(crate) struct CallHead<'a> {
     /// The HTTP method.
     pub(crate) method: &'a str,
     /// The path; calls between agents append the query and the values of their
@@ -43,7 +43,7 @@
     /// Computes the proof of a call with the keys of one epoch.
     pub(crate) fn new(
         keys: &EpochKeys,
-        line: CallLine<'_>,
+        head: CallHead<'_>,
         body: &[u8],
         time: ClockMillis,
         nonce: u64,
@@ -55,7 +55,7 @@
             body_digest: digest_body(body),
             mac: [0; SHA256_BYTES],
         };
-        let mac = hmac::sign(&keys.call_key, &proof.mac_input(line));
+        let mac = hmac::sign(&keys.call_key, &proof.mac_input(head));
         proof.mac.copy_from_slice(mac.as_ref());
         proof
     }
@@ -85,13 +85,13 @@
     pub(crate) fn verify(
         &self,
         ring: &KeyRing,
-        line: CallLine<'_>,
+        head: CallHead<'_>,
         now: ClockMillis,
     ) -> Result<(), ProofError> {
         let keys = ring.find(self.epoch_bits).ok_or(ProofError::UnknownEpoch {
             epoch_bits: self.epoch_bits,
         })?;
-        hmac::verify(&keys.call_key, &self.mac_input(line), &self.mac)
+        hmac::verify(&keys.call_key, &self.mac_input(head), &self.mac)
             .map_err(|_| ProofError::Mismatch)?;
         let offset = now.since(self.time).max(self.time.since(now));
         if offset > MAX_CLOCK_OFFSET_MILLIS {
@@ -114,16 +114,16 @@
         self.nonce
     }
 
-    fn mac_input(&self, line: CallLine<'_>) -> Vec<u8> {
+    fn mac_input(&self, head: CallHead<'_>) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(128);
         bytes.extend_from_slice(CALL_LABEL);
         bytes.push(self.epoch_bits);
         bytes.extend_from_slice(&self.time.millis().to_be_bytes());
         bytes.extend_from_slice(&self.nonce.to_be_bytes());
         bytes.extend_from_slice(&self.body_digest);
-        bytes.extend_from_slice(line.method.as_bytes());
+        bytes.extend_from_slice(head.method.as_bytes());
         bytes.push(b' ');
-        bytes.extend_from_slice(line.path.as_bytes());
+        bytes.extend_from_slice(head.path.as_bytes());
         bytes
     }
 }
--- a/src/proof/sign_layer.rs
+++ b/src/proof/client_proof_layer.rs
@@ -12,18 +12,18 @@
 };
 use tower::{Layer, Service};
 
-use super::{CALL_HEADER, CallLine, CallProof, ProofError, REPLY_HEADER, ReplyProof, wall_now};
+use super::{CALL_HEADER, CallHead, CallProof, ProofError, REPLY_HEADER, ReplyProof, wall_now};
 use crate::secret::SecretStore;
 
 /// Client side: adds a proof to every call of a JSON-RPC client and verifies the
 /// replies.
 #[derive(Debug, Clone)]
-pub(crate) struct SignLayer {
+pub(crate) struct ClientProofLayer {
     secret: SecretStore,
     body_limit: usize,
 }
 
-impl SignLayer {
+impl ClientProofLayer {
     /// Creates a layer with the keys of `secret`; replies are limited to
     /// `body_limit` bytes.
     pub(crate) fn new(secret: SecretStore, body_limit: usize) -> Self {
@@ -36,12 +36,12 @@
     ) -> Result<(u64, HttpRequest<HttpBody>), BoxError> {
         let (mut parts, body) = request.into_parts();
         let body = body.collect().await?.to_bytes();
-        let line = CallLine {
+        let head = CallHead {
             method: parts.method.as_str(),
             path: parts.uri.path(),
         };
         let keys = self.secret.keys();
-        let proof = CallProof::new(keys.active(), line, &body, wall_now(), rand::random());
+        let proof = CallProof::new(keys.active(), head, &body, wall_now(), rand::random());
         let value = http::HeaderValue::try_from(proof.to_string())?;
         parts.headers.insert(CALL_HEADER, value);
         let request = HttpRequest::from_parts(parts, HttpBody::new(Full::new(body)));
@@ -73,28 +73,28 @@
     }
 }
 
-impl<S> Layer<S> for SignLayer {
-    type Service = SignService<S>;
+impl<S> Layer<S> for ClientProofLayer {
+    type Service = ClientProofService<S>;
 
     fn layer(&self, inner: S) -> Self::Service {
-        SignService {
+        ClientProofService {
             layer: self.clone(),
             inner,
         }
     }
 }
 
-/// A JSON-RPC client's transport behind a [`SignLayer`].
+/// A JSON-RPC client's transport behind a [`ClientProofLayer`].
 #[derive(Debug, Clone)]
-pub(crate) struct SignService<S> {
-    layer: SignLayer,
+pub(crate) struct ClientProofService<S> {
+    layer: ClientProofLayer,
     inner: S,
 }
 
 type ReplyFuture =
     Pin<Box<dyn Future<Output = Result<HttpResponse<HttpBody>, TransportError>> + Send>>;
 
-impl<S, B> Service<HttpRequest<HttpBody>> for SignService<S>
+impl<S, B> Service<HttpRequest<HttpBody>> for ClientProofService<S>
 where
     S: Service<HttpRequest<HttpBody>, Response = HttpResponse<B>, Error = TransportError>,
     S: Clone + Send + 'static,
--- a/src/proof/mod.rs
+++ b/src/proof/mod.rs
@@ -5,18 +5,18 @@
 //! reply carries a MAC over that nonce, the status and the digest of its body.
 
 mod call_proof;
+mod client_proof_layer;
 mod hex_digits;
 mod proof_error;
-mod proof_layer;
 mod reply_proof;
-mod sign_layer;
+mod server_proof_layer;
 mod wall_clock;
 
-pub(crate) use call_proof::{CallLine, CallProof};
+pub(crate) use call_proof::{CallHead, CallProof};
+pub(crate) use client_proof_layer::{ClientProofLayer, ClientProofService};
 pub use proof_error::ProofError;
-pub(crate) use proof_layer::ProofLayer;
 pub(crate) use reply_proof::ReplyProof;
-pub(crate) use sign_layer::{SignLayer, SignService};
+pub(crate) use server_proof_layer::ServerProofLayer;
 pub(crate) use wall_clock::wall_now;
 
 /// The header with the proof of a call.
--- a/src/proof/proof_layer.rs
+++ b/src/proof/server_proof_layer.rs
@@ -13,7 +13,7 @@
 use metrics::counter;
 use tower::{Layer, Service};
 
-use super::{CALL_HEADER, CallLine, CallProof, ProofError, REPLY_HEADER, ReplyProof, wall_now};
+use super::{CALL_HEADER, CallHead, CallProof, ProofError, REPLY_HEADER, ReplyProof, wall_now};
 use crate::{clock::SpanMillis, secret::SecretStore};
 
 /// The timeout for reading the body of an authenticated call.
@@ -22,12 +22,12 @@
 /// Server side: passes only authenticated calls to a JSON-RPC server and adds a
 /// proof to its replies.
 #[derive(Debug, Clone)]
-pub(crate) struct ProofLayer {
+pub(crate) struct ServerProofLayer {
     secret: SecretStore,
     body_limit: usize,
 }
 
-impl ProofLayer {
+impl ServerProofLayer {
     /// Creates a layer with the keys of `secret`; bodies are limited to
     /// `body_limit` bytes.
     pub(crate) fn new(secret: SecretStore, body_limit: usize) -> Self {
@@ -54,11 +54,11 @@
             .ok_or(ProofError::Missing)?;
         let text = header.to_str().map_err(|_| ProofError::Malformed)?;
         let proof = CallProof::parse(text)?;
-        let line = CallLine {
+        let head = CallHead {
             method: request.method().as_str(),
             path: request.uri().path(),
         };
-        proof.verify(&self.secret.keys(), line, wall_now())?;
+        proof.verify(&self.secret.keys(), head, wall_now())?;
         Ok(proof)
     }
 
@@ -90,27 +90,27 @@
     }
 }
 
-impl<S> Layer<S> for ProofLayer {
-    type Service = ProofService<S>;
+impl<S> Layer<S> for ServerProofLayer {
+    type Service = ServerProofService<S>;
 
     fn layer(&self, inner: S) -> Self::Service {
-        ProofService {
+        ServerProofService {
             layer: self.clone(),
             inner,
         }
     }
 }
 
-/// A JSON-RPC server behind a [`ProofLayer`].
+/// A JSON-RPC server behind a [`ServerProofLayer`].
 #[derive(Debug, Clone)]
-pub(crate) struct ProofService<S> {
-    layer: ProofLayer,
+pub(crate) struct ServerProofService<S> {
+    layer: ServerProofLayer,
     inner: S,
 }
 
 type ReplyFuture = Pin<Box<dyn Future<Output = Result<HttpResponse<HttpBody>, BoxError>> + Send>>;
 
-impl<S> Service<HttpRequest<HttpBody>> for ProofService<S>
+impl<S> Service<HttpRequest<HttpBody>> for ServerProofService<S>
 where
     S: Service<HttpRequest<HttpBody>, Response = HttpResponse<HttpBody>, Error = BoxError>,
     S: Clone + Send + 'static,
--- a/src/proof/tests/layer.rs
+++ b/src/proof/tests/layer.rs
@@ -24,13 +24,14 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     proof::{
-        CALL_HEADER, CallLine, CallProof, ProofLayer, REPLY_HEADER, ReplyProof, SignLayer, wall_now,
+        CALL_HEADER, CallHead, CallProof, ClientProofLayer, REPLY_HEADER, ReplyProof,
+        ServerProofLayer, wall_now,
     },
     secret::SecretStore,
 };
 
 const BODY_LIMIT: usize = 64;
-const LINE: CallLine<'static> = CallLine {
+const HEAD: CallHead<'static> = CallHead {
     method: "POST",
     path: "/",
 };
@@ -42,10 +43,10 @@
 }
 
 fn proof(store: &SecretStore, body: &[u8], time: ClockMillis) -> String {
-    CallProof::new(store.keys().active(), LINE, body, time, 42).to_string()
+    CallProof::new(store.keys().active(), HEAD, body, time, 42).to_string()
 }
 
-/// Sends a request through a `ProofLayer`; returns the response and the number
+/// Sends a request through a `ServerProofLayer`; returns the response and the number
 /// of calls that reached the server.
 async fn send(header: Option<String>, body: Vec<u8>) -> (HttpResponse<HttpBody>, usize) {
     let reached = Arc::new(AtomicUsize::new(0));
@@ -61,7 +62,7 @@
         request = request.header(CALL_HEADER, header);
     }
     let request = request.body(HttpBody::from(body)).expect("a valid request");
-    let service = ProofLayer::new(store(1), BODY_LIMIT).layer(inner);
+    let service = ServerProofLayer::new(store(1), BODY_LIMIT).layer(inner);
     let response = service.oneshot(request).await.expect("a response");
     (response, reached.load(Ordering::Relaxed))
 }
@@ -148,7 +149,7 @@
     let inner = service_fn(|_: HttpRequest<HttpBody>| {
         std::future::ready(Ok::<_, BoxError>(HttpResponse::new(HttpBody::empty())))
     });
-    let service = ProofLayer::new(store(1), BODY_LIMIT).layer(inner);
+    let service = ServerProofLayer::new(store(1), BODY_LIMIT).layer(inner);
     let response = service.oneshot(request).await.expect("a response");
     assert_eq!(response.status().as_u16(), 401);
     assert_eq!(read.load(Ordering::Relaxed), 0);
@@ -172,7 +173,7 @@
 #[case::other_secret(2, false)]
 #[tokio::test]
 async fn a_client_accepts_only_authenticated_replies(#[case] server: u8, #[case] accepted: bool) {
-    // There is no `ProofLayer` here, so only the check of the reply decides.
+    // There is no `ServerProofLayer` here, so only the check of the reply decides.
     let server_store = store(server);
     let inner = service_fn(move |request: HttpRequest<HttpBody>| {
         let header = request.headers()[CALL_HEADER]
@@ -189,7 +190,7 @@
     let request = HttpRequest::post("/")
         .body(HttpBody::from("{}"))
         .expect("a valid request");
-    let service = SignLayer::new(store(1), BODY_LIMIT).layer(inner);
+    let service = ClientProofLayer::new(store(1), BODY_LIMIT).layer(inner);
     let answer = service.oneshot(request).await;
     assert_eq!(answer.is_ok(), accepted);
     if let Ok(answer) = answer {
--- a/src/proof/tests/proof.rs
+++ b/src/proof/tests/proof.rs
@@ -5,11 +5,11 @@
 
 use crate::{
     clock::{ClockMillis, SpanMillis},
-    proof::{CallLine, CallProof, ProofError, ReplyProof},
+    proof::{CallHead, CallProof, ProofError, ReplyProof},
     secret::{DeploymentSecret, KeyRing, SecretEpoch},
 };
 
-const LINE: CallLine<'static> = CallLine {
+const HEAD: CallHead<'static> = CallHead {
     method: "POST",
     path: "/",
 };
@@ -31,7 +31,7 @@
 }
 
 fn sign(ring: &KeyRing, body: &[u8]) -> CallProof {
-    CallProof::new(ring.active(), LINE, body, NOW, 42)
+    CallProof::new(ring.active(), HEAD, body, NOW, 42)
 }
 
 #[test]
@@ -45,13 +45,13 @@
 #[case::old_epoch_during_a_rotation(2, &[1, 2])]
 fn a_proof_of_any_accepted_epoch_verifies(#[case] active: u8, #[case] epochs: &[u8]) {
     let proof = sign(&ring(1, &[1]), b"body");
-    assert_eq!(proof.verify(&ring(active, epochs), LINE, NOW), Ok(()));
+    assert_eq!(proof.verify(&ring(active, epochs), HEAD, NOW), Ok(()));
 }
 
 #[test]
 fn a_retired_epoch_is_refused() {
     let proof = sign(&ring(1, &[1]), b"body");
-    let refused = proof.verify(&ring(3, &[2, 3]), LINE, NOW);
+    let refused = proof.verify(&ring(3, &[2, 3]), HEAD, NOW);
     assert_eq!(refused, Err(ProofError::UnknownEpoch { epoch_bits: 1 }));
 }
 
@@ -65,7 +65,7 @@
     #[case] accepted: bool,
 ) {
     let ring = ring(1, &[1]);
-    let result = sign(&ring, b"body").verify(&ring, LINE, ClockMillis::new(now));
+    let result = sign(&ring, b"body").verify(&ring, HEAD, ClockMillis::new(now));
     let stale = ProofError::Stale {
         offset: SpanMillis::new(30_001),
     };
@@ -75,11 +75,11 @@
 #[test]
 fn a_call_proof_covers_the_path() {
     let ring = ring(1, &[1]);
-    let line = CallLine {
+    let head = CallHead {
         method: "POST",
         path: "/other",
     };
-    let refused = sign(&ring, b"body").verify(&ring, line, NOW);
+    let refused = sign(&ring, b"body").verify(&ring, head, NOW);
     assert_eq!(refused, Err(ProofError::Mismatch));
 }
 
@@ -111,14 +111,14 @@
         changed[index] = b"0123456789abcdef"[usize::from(digit)];
         let changed = String::from_utf8(changed).expect("ASCII digits");
         prop_assume!(changed != text);
-        let result = CallProof::parse(&changed).and_then(|proof| proof.verify(&ring, LINE, NOW));
+        let result = CallProof::parse(&changed).and_then(|proof| proof.verify(&ring, HEAD, NOW));
         prop_assert!(result.is_err());
     }
 
     #[test]
     fn an_arbitrary_header_is_refused_without_a_panic(text in ".{0,200}") {
         let ring = ring(1, &[1]);
-        let result = CallProof::parse(&text).and_then(|proof| proof.verify(&ring, LINE, NOW));
+        let result = CallProof::parse(&text).and_then(|proof| proof.verify(&ring, HEAD, NOW));
         prop_assert!(result.is_err());
     }
 }
