--- a/src/caller/call_answer.rs
+++ b/src/caller/call_response.rs
@@ -5,7 +5,7 @@
 
 /// A complete response.
 #[derive(Debug, Clone)]
-pub struct CallAnswer {
+pub struct CallResponse {
     /// The HTTP status.
     pub status: u16,
     /// The response headers.
@@ -14,7 +14,7 @@
     pub body: Bytes,
 }
 
-impl CallAnswer {
+impl CallResponse {
     /// Returns whether the status is 2xx.
     #[must_use]
     pub fn is_success(&self) -> bool {
--- a/src/caller/answer_stream.rs
+++ b/src/caller/response_stream.rs
@@ -3,19 +3,19 @@
 use h3_quinn::BidiStream;
 use http::HeaderMap;
 
-use super::{CallAnswer, CallerError};
+use super::{CallResponse, CallerError};
 
 /// The largest response body in bytes that is collected in memory.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// A response whose body is still being received.
-pub struct AnswerStream {
+pub struct ResponseStream {
     status: u16,
     headers: HeaderMap,
     stream: RequestStream<BidiStream<Bytes>, Bytes>,
 }
 
-impl AnswerStream {
+impl ResponseStream {
     /// Sends the request body and waits for the response headers.
     pub(super) async fn open(
         mut stream: RequestStream<BidiStream<Bytes>, Bytes>,
@@ -46,15 +46,15 @@
         &self.headers
     }
 
-    /// Waits for the next part of the body; `None` at its regular end.
+    /// Waits for the next chunk of the body; `None` at its regular end.
     ///
     /// # Errors
     ///
     /// Fails when the stream ended before the body was complete.
-    pub async fn next_part(&mut self) -> Result<Option<Bytes>, CallerError> {
-        let part = self.stream.recv_data().await;
-        let part = part.map_err(CallerError::Stream)?;
-        Ok(part.map(|mut part| part.copy_to_bytes(part.remaining())))
+    pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, CallerError> {
+        let chunk = self.stream.recv_data().await;
+        let chunk = chunk.map_err(CallerError::Stream)?;
+        Ok(chunk.map(|mut chunk| chunk.copy_to_bytes(chunk.remaining())))
     }
 
     /// Waits for the complete body.
@@ -62,17 +62,17 @@
     /// # Errors
     ///
     /// Fails when the body is incomplete or exceeds 64 MiB.
-    pub async fn collect(mut self) -> Result<CallAnswer, CallerError> {
+    pub async fn collect(mut self) -> Result<CallResponse, CallerError> {
         let mut body = BytesMut::new();
-        while let Some(part) = self.next_part().await? {
-            if body.len() + part.len() > MAX_RESPONSE_BYTES {
+        while let Some(chunk) = self.next_chunk().await? {
+            if body.len() + chunk.len() > MAX_RESPONSE_BYTES {
                 return Err(CallerError::Oversize {
                     limit: MAX_RESPONSE_BYTES,
                 });
             }
-            body.extend_from_slice(&part);
+            body.extend_from_slice(&chunk);
         }
-        Ok(CallAnswer {
+        Ok(CallResponse {
             status: self.status,
             headers: self.headers,
             body: body.freeze(),
--- a/src/caller/service_caller.rs
+++ b/src/caller/service_caller.rs
@@ -11,7 +11,7 @@
     ClientConfig, Connection, Endpoint, TransportConfig, crypto::rustls::QuicClientConfig,
 };
 
-use super::{AnswerStream, CallAnswer, CallRequest, CallerError};
+use super::{CallRequest, CallResponse, CallerError, ResponseStream};
 use crate::{
     clock::SpanMillis,
     tls::{ServerTrust, client_config},
@@ -68,7 +68,7 @@
     /// # Errors
     ///
     /// Fails when the connection or the stream ends before the response is complete.
-    pub async fn send(&self, request: CallRequest) -> Result<CallAnswer, CallerError> {
+    pub async fn send(&self, request: CallRequest) -> Result<CallResponse, CallerError> {
         self.open(request).await?.collect().await
     }
 
@@ -77,14 +77,14 @@
     /// # Errors
     ///
     /// Fails when the connection or the stream ends before that.
-    pub async fn open(&self, request: CallRequest) -> Result<AnswerStream, CallerError> {
+    pub async fn open(&self, request: CallRequest) -> Result<ResponseStream, CallerError> {
         let (head, body) = request.into_parts(&self.service)?;
         let mut sender = self.sender.clone();
         let stream = sender
             .send_request(head)
             .await
             .map_err(CallerError::Unsent)?;
-        AnswerStream::open(stream, body).await
+        ResponseStream::open(stream, body).await
     }
 
     /// Returns whether the connection is known to be closed.
--- a/src/cli/command/call_command.rs
+++ b/src/cli/command/call_command.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use crate::{
-    caller::{CallAnswer, CallRequest, CallerError, ServiceCaller},
+    caller::{CallRequest, CallResponse, CallerError, ServiceCaller},
     cli::{CliError, OutputFormat, UsageError},
     program::ExitStatus,
     tls::ServerTrust,
@@ -82,7 +82,7 @@
         })
     }
 
-    async fn send(&self, request: CallRequest) -> Result<CallAnswer, CliError> {
+    async fn send(&self, request: CallRequest) -> Result<CallResponse, CliError> {
         let address = self.service_address.ok_or(UsageError::Missing {
             name: "--service-address",
         })?;
@@ -91,7 +91,7 @@
         let ca = self.ca.as_ref();
         let ca = ca.ok_or(UsageError::Missing { name: "--ca" })?;
         let caller = ServiceCaller::connect(address, name, ServerTrust::load(ca)?).await?;
-        let response: Result<CallAnswer, CallerError> = caller.send(request).await;
+        let response: Result<CallResponse, CallerError> = caller.send(request).await;
         caller.close().await;
         Ok(response?)
     }
@@ -120,7 +120,7 @@
 }
 
 impl CallReport {
-    fn new(response: &CallAnswer) -> Self {
+    fn new(response: &CallResponse) -> Self {
         let headers = response
             .headers
             .iter()
--- a/src/demo/demo_load.rs
+++ b/src/demo/demo_load.rs
@@ -6,7 +6,7 @@
 
 use super::demo_counters::{DemoCounters, RequestOutcome};
 use crate::{
-    caller::{AnswerStream, CallAnswer, CallRequest, CallerError, ServiceCaller},
+    caller::{CallRequest, CallResponse, CallerError, ResponseStream, ServiceCaller},
     program::StopSignal,
     tls::ServerTrust,
 };
@@ -93,7 +93,7 @@
         CallRequest::new("GET", "/name")
     };
     let answer = caller.send(request).await;
-    let Some(outcome) = classify_answer(service, is_command, &answer) else {
+    let Some(outcome) = classify_response(service, is_command, &answer) else {
         return false;
     };
     if let (RequestOutcome::Cut, Err(error)) = (outcome, &answer) {
@@ -107,18 +107,18 @@
 }
 
 /// Returns the outcome of a request; none if it was never sent.
-fn classify_answer(
+fn classify_response(
     service: &DemoService,
     is_command: bool,
-    answer: &Result<CallAnswer, CallerError>,
+    response: &Result<CallResponse, CallerError>,
 ) -> Option<RequestOutcome> {
-    match answer {
-        Ok(answer) if answer.is_success() && is_command => Some(RequestOutcome::Answered),
-        Ok(answer) if answer.is_success() && service.is_from_service(&answer.body) => {
+    match response {
+        Ok(response) if response.is_success() && is_command => Some(RequestOutcome::Answered),
+        Ok(response) if response.is_success() && service.is_from_service(&response.body) => {
             Some(RequestOutcome::Answered)
         }
-        Ok(answer) if answer.is_success() => Some(RequestOutcome::Misrouted),
-        Ok(answer) if answer.is_refused_unrun() => Some(RequestOutcome::NotRun),
+        Ok(response) if response.is_success() => Some(RequestOutcome::Misrouted),
+        Ok(response) if response.is_refused_unrun() => Some(RequestOutcome::NotRun),
         Ok(_) => Some(RequestOutcome::Failed),
         Err(error) if error.is_unsent() => None,
         Err(_) => Some(RequestOutcome::Cut),
@@ -129,19 +129,19 @@
 pub(super) async fn follow_stream(
     service: DemoService,
     caller: ServiceCaller,
-    mut stream: AnswerStream,
+    mut stream: ResponseStream,
     counters: Arc<DemoCounters>,
     stop: StopSignal,
 ) {
     let mut reader = LineReader::default();
     loop {
-        let part = tokio::select! {
-            part = stream.next_part() => part,
+        let chunk = tokio::select! {
+            chunk = stream.next_chunk() => chunk,
             () = stop.stopped() => break,
         };
-        let lines = match part {
-            Ok(Some(part)) => reader
-                .read_part(&part)
+        let lines = match chunk {
+            Ok(Some(chunk)) => reader
+                .read_part(&chunk)
                 .ok_or("a line is missing".to_owned()),
             Ok(None) => Err("it ended".to_owned()),
             Err(error) => Err(error.to_string()),
--- a/tests/flows_survive.rs
+++ b/tests/flows_survive.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use cyclamenrouter::{
-    caller::{AnswerStream, CallRequest, ServiceCaller},
+    caller::{CallRequest, ResponseStream, ServiceCaller},
     demo::{FabricStandIn, UpstreamStandIn},
 };
 use support::{SiteProcess, TestSite, get};
@@ -57,13 +57,13 @@
 
 /// Reads the numbered lines of a stream and detects gaps.
 struct LineReader {
-    stream: AnswerStream,
+    stream: ResponseStream,
     pending: String,
     next: u64,
 }
 
 impl LineReader {
-    fn new(stream: AnswerStream) -> Self {
+    fn new(stream: ResponseStream) -> Self {
         Self {
             stream,
             pending: String::new(),
@@ -74,12 +74,12 @@
     async fn read(&mut self, count: u64) -> Result<(), String> {
         let end = self.next + count;
         while self.next < end {
-            let part = tokio::time::timeout(support::WAIT_TIMEOUT, self.stream.next_part())
+            let chunk = tokio::time::timeout(support::WAIT_TIMEOUT, self.stream.next_chunk())
                 .await
                 .map_err(|_| format!("no data before line {}", self.next))?
                 .map_err(|error| format!("cut before line {}: {error}", self.next))?
                 .ok_or_else(|| format!("ended before line {}", self.next))?;
-            self.pending.push_str(&String::from_utf8_lossy(&part));
+            self.pending.push_str(&String::from_utf8_lossy(&chunk));
             while let Some((line, rest)) = self.pending.split_once('\n') {
                 if line != format!("camera {}", self.next) {
                     return Err(format!("expected line {}, got {line:?}", self.next));
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -5,7 +5,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use cyclamenrouter::caller::{CallAnswer, CallRequest, ServiceCaller};
+use cyclamenrouter::caller::{CallRequest, CallResponse, ServiceCaller};
 use serde_json::Value;
 use support::{
     FabricStandIn, SiteProcess, TestSite, eventually, get,
@@ -70,7 +70,7 @@
         .with_body("feed pen 3")
 }
 
-fn parse_problem(answer: &CallAnswer) -> Value {
+fn parse_problem(answer: &CallResponse) -> Value {
     serde_json::from_slice(&answer.body)
         .unwrap_or_else(|_| panic!("not a problem document: {answer:?}"))
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -18,7 +18,7 @@
 
 pub use cyclamenrouter::demo::FabricStandIn;
 use cyclamenrouter::{
-    caller::{CallAnswer, CallRequest, ServiceCaller},
+    caller::{CallRequest, CallResponse, ServiceCaller},
     control::{api::ApplyRequest, client::ControlClient},
     demo::UpstreamStandIn,
     manifest::Manifest,
@@ -343,7 +343,7 @@
 }
 
 /// Sends a GET request and returns the complete response.
-pub async fn get(caller: &ServiceCaller, path: &str) -> CallAnswer {
+pub async fn get(caller: &ServiceCaller, path: &str) -> CallResponse {
     caller
         .send(CallRequest::new("GET", path))
         .await
