--- a/src/caller/call_response.rs
+++ b/src/caller/call_response.rs
@@ -30,7 +30,7 @@
     /// Returns whether the response is a refusal which states that the request did
     /// not run and never will.
     #[must_use]
-    pub fn is_refused_unrun(&self) -> bool {
+    pub fn is_not_run(&self) -> bool {
         let problem: Result<ProblemDocument, _> = serde_json::from_slice(&self.body);
         !self.is_success() && problem.is_ok_and(|problem| problem.not_run)
     }
--- a/src/caller/caller_error.rs
+++ b/src/caller/caller_error.rs
@@ -64,7 +64,7 @@
     /// A server rejects requests that arrive after its GOAWAY with the code
     /// `H3_REQUEST_REJECTED`.
     #[must_use]
-    pub fn is_unsent(&self) -> bool {
+    pub fn is_not_processed(&self) -> bool {
         match self {
             Self::Stream(StreamError::RemoteTerminate { code, .. }) => {
                 *code == Code::H3_REQUEST_REJECTED
--- a/src/demo/demo_load.rs
+++ b/src/demo/demo_load.rs
@@ -118,9 +118,9 @@
             Some(RequestOutcome::Answered)
         }
         Ok(response) if response.is_success() => Some(RequestOutcome::Misrouted),
-        Ok(response) if response.is_refused_unrun() => Some(RequestOutcome::NotRun),
+        Ok(response) if response.is_not_run() => Some(RequestOutcome::NotRun),
         Ok(_) => Some(RequestOutcome::Failed),
-        Err(error) if error.is_unsent() => None,
+        Err(error) if error.is_not_processed() => None,
         Err(_) => Some(RequestOutcome::Cut),
     }
 }
