--- a/src/admin/admin_source.rs
+++ b/src/admin/admin_handlers.rs
@@ -13,13 +13,13 @@
 
 /// The functions of a process that answer its admin calls.
 #[derive(Clone)]
-pub struct AdminSource {
+pub struct AdminHandlers {
     dump: Arc<DumpHandler>,
     drain: Option<Arc<DrainHandler>>,
 }
 
-impl AdminSource {
-    /// Creates a source that answers dumps with the state that `dump` returns.
+impl AdminHandlers {
+    /// Creates handlers that answer dumps with the state that `dump` returns.
     ///
     /// `dump` should copy the state or read a snapshot; it must not block the
     /// packet path.
@@ -65,7 +65,7 @@
     }
 }
 
-impl fmt::Debug for AdminSource {
+impl fmt::Debug for AdminHandlers {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
             .debug_struct("AdminSource")
--- a/src/admin/admin_server.rs
+++ b/src/admin/admin_server.rs
@@ -6,7 +6,7 @@
     types::ErrorObjectOwned,
 };
 
-use super::{AdminError, AdminMethod, AdminSource, DrainCommand, DrainRequest};
+use super::{AdminError, AdminHandlers, AdminMethod, DrainCommand, DrainRequest};
 use crate::{proof::ServerProofLayer, secret::SecretStore};
 
 /// The largest request in bytes.
@@ -26,7 +26,7 @@
 }
 
 impl AdminServer {
-    /// Starts a server on `listen` that answers calls from `source`.
+    /// Starts a server on `listen` that answers calls from `handlers`.
     ///
     /// # Errors
     ///
@@ -34,7 +34,7 @@
     pub async fn start(
         listen: SocketAddrV4,
         secret: SecretStore,
-        source: AdminSource,
+        handlers: AdminHandlers,
     ) -> Result<Self, AdminError> {
         let listen = SocketAddr::V4(listen);
         let failed = |cause| AdminError::Listen {
@@ -57,7 +57,7 @@
             .await
             .map_err(failed)?;
         let address = server.local_addr().map_err(failed)?;
-        let handle = server.start(build_rpc_module(source));
+        let handle = server.start(build_rpc_module(handlers));
         Ok(Self { address, handle })
     }
 
@@ -75,33 +75,35 @@
     }
 }
 
-/// Registers the methods of the admin address, which `source` answers.
-fn build_rpc_module(source: AdminSource) -> RpcModule<AdminSource> {
-    let mut module = RpcModule::new(source);
+/// Registers the methods of the admin address, which `handlers` answers.
+fn build_rpc_module(handlers: AdminHandlers) -> RpcModule<AdminHandlers> {
+    let mut module = RpcModule::new(handlers);
     module
-        .register_async_method(AdminMethod::Dump.name(), |_, source, _| async move {
-            source.dump().await
+        .register_async_method(AdminMethod::Dump.name(), |_, handlers, _| async move {
+            handlers.dump().await
         })
         .expect(UNIQUE_METHOD_NAMES);
     module
         .register_async_method(
             AdminMethod::Drain.name(),
-            |parameters, source, _| async move {
+            |parameters, handlers, _| async move {
                 let request: DrainRequest = parameters.one()?;
-                let report = source.drain(DrainCommand::Begin(request)).await;
+                let report = handlers.drain(DrainCommand::Begin(request)).await;
                 report.map_err(ErrorObjectOwned::from)
             },
         )
         .expect(UNIQUE_METHOD_NAMES);
     module
-        .register_async_method(AdminMethod::CancelDrain.name(), |_, source, _| async move {
-            source.drain(DrainCommand::Cancel).await
-        })
+        .register_async_method(
+            AdminMethod::CancelDrain.name(),
+            |_, handlers, _| async move { handlers.drain(DrainCommand::Cancel).await },
+        )
         .expect(UNIQUE_METHOD_NAMES);
     module
-        .register_async_method(AdminMethod::DrainStatus.name(), |_, source, _| async move {
-            source.drain(DrainCommand::Report).await
-        })
+        .register_async_method(
+            AdminMethod::DrainStatus.name(),
+            |_, handlers, _| async move { handlers.drain(DrainCommand::Report).await },
+        )
         .expect(UNIQUE_METHOD_NAMES);
     module
 }
--- a/src/admin/tests/calls.rs
+++ b/src/admin/tests/calls.rs
@@ -1,8 +1,8 @@
-//! Authenticated calls are answered by the admin source.
+//! Authenticated calls are answered by the admin handlers.
 
 use tokio::sync::mpsc;
 
-use super::{ANY_PORT, sample_secret, sample_source, start};
+use super::{ANY_PORT, sample_handlers, sample_secret, start};
 use crate::{
     admin::{AdminClient, AdminError, AdminRefusal, AdminServer, DrainCommand, DrainRequest},
     agent::drain::{DrainReport, DrainStage, OpenWork},
@@ -26,7 +26,7 @@
 #[tokio::test]
 async fn a_dump_returns_the_state_as_json() {
     let secret = sample_secret();
-    let (server, address) = start(&secret, sample_source()).await;
+    let (server, address) = start(&secret, sample_handlers()).await;
     let client = AdminClient::new(address, secret).expect("a client");
     let state = client.dump().await.expect("a dump");
     assert_eq!(state["packets"], 7);
@@ -37,11 +37,11 @@
 async fn drain_calls_reach_the_agent_and_return_its_report() {
     let secret = sample_secret();
     let (commands, mut received) = mpsc::unbounded_channel();
-    let source = sample_source().with_drain(move |command| {
+    let handlers = sample_handlers().with_drain(move |command| {
         commands.send(command).expect("the receiver is open");
         async { Some(sample_report()) }
     });
-    let (_server, address) = start(&secret, source).await;
+    let (_server, address) = start(&secret, handlers).await;
     let client = AdminClient::new(address, secret).expect("a client");
     let request = DrainRequest {
         deadline: Some(SpanMillis::new(5_000)),
@@ -60,7 +60,7 @@
 #[tokio::test]
 async fn a_process_that_is_no_agent_refuses_drain_calls() {
     let secret = sample_secret();
-    let (_server, address) = start(&secret, sample_source()).await;
+    let (_server, address) = start(&secret, sample_handlers()).await;
     let client = AdminClient::new(address, secret).expect("a client");
     let error = client.drain_status().await.expect_err("not an agent");
     assert!(matches!(
@@ -75,9 +75,9 @@
 #[tokio::test]
 async fn the_error_for_an_address_in_use_contains_the_address() {
     let secret = sample_secret();
-    let (_server, address) = start(&secret, sample_source()).await;
+    let (_server, address) = start(&secret, sample_handlers()).await;
     assert_eq!(address.ip(), ANY_PORT.ip());
-    let error = AdminServer::start(address, secret, sample_source()).await;
+    let error = AdminServer::start(address, secret, sample_handlers()).await;
     let error = error.expect_err("the port is taken");
     assert!(error.to_string().contains(&address.to_string()));
 }
--- a/src/admin/tests/mod.rs
+++ b/src/admin/tests/mod.rs
@@ -7,7 +7,7 @@
 
 use serde::Serialize;
 
-use super::{AdminServer, AdminSource};
+use super::{AdminHandlers, AdminServer};
 use crate::secret::{DeploymentSecret, SecretStore};
 
 /// Lets the operating system choose the port.
@@ -18,16 +18,16 @@
     packets: u64,
 }
 
-fn sample_source() -> AdminSource {
-    AdminSource::new(|| async { SampleState { packets: 7 } })
+fn sample_handlers() -> AdminHandlers {
+    AdminHandlers::new(|| async { SampleState { packets: 7 } })
 }
 
 fn sample_secret() -> SecretStore {
     SecretStore::new(&DeploymentSecret::random(1)).expect("a fresh secret")
 }
 
-async fn start(secret: &SecretStore, source: AdminSource) -> (AdminServer, SocketAddrV4) {
-    let server = AdminServer::start(ANY_PORT, secret.clone(), source)
+async fn start(secret: &SecretStore, handlers: AdminHandlers) -> (AdminServer, SocketAddrV4) {
+    let server = AdminServer::start(ANY_PORT, secret.clone(), handlers)
         .await
         .expect("a free port");
     let SocketAddr::V4(address) = server.address() else {
--- a/src/admin/tests/refusals.rs
+++ b/src/admin/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Unauthenticated calls are refused before they reach the admin source.
+//! Unauthenticated calls are refused before they reach the admin handlers.
 
 use std::{
     net::SocketAddrV4,
@@ -12,7 +12,7 @@
 
 use super::{SampleState, sample_secret, start};
 use crate::{
-    admin::{AdminClient, AdminError, AdminServer, AdminSource},
+    admin::{AdminClient, AdminError, AdminHandlers, AdminServer},
     secret::SecretStore,
 };
 
@@ -20,11 +20,11 @@
 async fn start_counting(secret: &SecretStore) -> (AdminServer, SocketAddrV4, Arc<AtomicU32>) {
     let count = Arc::new(AtomicU32::new(0));
     let counted = Arc::clone(&count);
-    let source = AdminSource::new(move || {
+    let handlers = AdminHandlers::new(move || {
         counted.fetch_add(1, Ordering::Relaxed);
         async { SampleState { packets: 0 } }
     });
-    let (server, address) = start(secret, source).await;
+    let (server, address) = start(secret, handlers).await;
     (server, address, count)
 }
 
--- a/src/agent/agent_run.rs
+++ b/src/agent/agent_run.rs
@@ -5,7 +5,7 @@
     drain::{DrainEvent, DrainGoal},
 };
 use crate::{
-    admin::{AdminEdge, AdminSource, DrainCommand},
+    admin::{AdminEndpoints, AdminHandlers, DrainCommand},
     event::log_event,
     program::{StopSignal, start_logs},
 };
@@ -23,12 +23,12 @@
         () = signal.stopped() => return Ok(()),
     };
     let node = Arc::new(node);
-    let edge = AdminEdge {
+    let endpoints = AdminEndpoints {
         admin_listen: settings.admin_listen,
         metrics_listen: settings.metrics_listen,
         secret_file: settings.secret_file,
     };
-    let _admin = edge.open(admin_source(&node)).await?;
+    let _admin = endpoints.open(admin_handlers(&node)).await?;
     signal.stopped().await;
     node.begin_exit().await;
     node.finish_exit().await;
@@ -36,14 +36,14 @@
     Ok(())
 }
 
-fn admin_source(node: &Arc<AgentNode>) -> AdminSource {
+fn admin_handlers(node: &Arc<AgentNode>) -> AdminHandlers {
     let dump_node = Arc::clone(node);
     let drain_node = Arc::clone(node);
-    let source = AdminSource::new(move || {
+    let handlers = AdminHandlers::new(move || {
         let node = Arc::clone(&dump_node);
         async move { node.dump().await }
     });
-    source.with_drain(move |command| {
+    handlers.with_drain(move |command| {
         let node = Arc::clone(&drain_node);
         async move {
             match command {
--- a/src/balancer/balancer_run.rs
+++ b/src/balancer/balancer_run.rs
@@ -2,7 +2,7 @@
 
 use super::{BalancerError, BalancerEvent, BalancerNode, BalancerSettings};
 use crate::{
-    admin::{AdminEdge, AdminSource},
+    admin::{AdminEndpoints, AdminHandlers},
     event::log_event,
     program::{StopSignal, start_logs},
 };
@@ -17,21 +17,21 @@
     start_logs(settings.log_format);
     let signal = StopSignal::listen().map_err(BalancerError::Signal)?;
     let node = Arc::new(BalancerNode::start(&settings)?);
-    let edge = AdminEdge {
+    let endpoints = AdminEndpoints {
         admin_listen: settings.admin_listen,
         metrics_listen: settings.metrics_listen,
         secret_file: settings.secret_file,
     };
-    let _admin = edge.open(admin_source(&node)).await?;
+    let _admin = endpoints.open(admin_handlers(&node)).await?;
     signal.stopped().await;
     node.leave().await;
     log_event!(info, BalancerEvent::Stopped);
     Ok(())
 }
 
-fn admin_source(node: &Arc<BalancerNode>) -> AdminSource {
+fn admin_handlers(node: &Arc<BalancerNode>) -> AdminHandlers {
     let node = Arc::clone(node);
-    AdminSource::new(move || {
+    AdminHandlers::new(move || {
         let node = Arc::clone(&node);
         async move { node.dump() }
     })
