--- a/src/admin/metrics_listener.rs
+++ b/src/admin/metrics_listener.rs
@@ -32,7 +32,7 @@
 /// # Errors
 ///
 /// Fails as [`start_metrics`] does.
-pub async fn start_metrics_after(
+pub async fn start_metrics_delayed(
     delay: SpanMillis,
     listen: SocketAddrV4,
 ) -> Result<(), AdminError> {
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -14,7 +14,7 @@
 pub use admin_handlers::AdminHandlers;
 pub use admin_refusal::AdminRefusal;
 pub use admin_server::AdminServer;
-pub use metrics_listener::{start_metrics, start_metrics_after};
+pub use metrics_listener::{start_metrics, start_metrics_delayed};
 
 pub(crate) use admin_client::AdminClient;
 pub(crate) use admin_endpoints::AdminEndpoints;
--- a/src/agent/agent_run.rs
+++ b/src/agent/agent_run.rs
@@ -7,7 +7,7 @@
 use crate::{
     admin::{AdminEndpoints, AdminHandlers, DrainCommand},
     event::log_event,
-    program::{StopSignal, start_logs},
+    program::{StopSignal, init_logging},
 };
 
 /// Runs an agent until a stop signal, then drains it.
@@ -16,7 +16,7 @@
 ///
 /// Fails when the agent can't start.
 pub async fn run_agent(settings: AgentSettings) -> Result<(), AgentError> {
-    start_logs(settings.log_format);
+    init_logging(settings.log_format);
     let signal = StopSignal::listen().map_err(AgentError::Signal)?;
     let node = tokio::select! {
         node = AgentNode::start(&settings) => node?,
--- a/src/balancer/balancer_run.rs
+++ b/src/balancer/balancer_run.rs
@@ -4,7 +4,7 @@
 use crate::{
     admin::{AdminEndpoints, AdminHandlers},
     event::log_event,
-    program::{StopSignal, start_logs},
+    program::{StopSignal, init_logging},
 };
 
 /// Runs a balancer until the process receives a stop signal, then shuts it down
@@ -14,7 +14,7 @@
 ///
 /// Fails when the balancer, its signal handlers or its admin servers can't start.
 pub async fn run_balancer(settings: BalancerSettings) -> Result<(), BalancerError> {
-    start_logs(settings.log_format);
+    init_logging(settings.log_format);
     let signal = StopSignal::listen().map_err(BalancerError::Signal)?;
     let node = Arc::new(BalancerNode::start(&settings)?);
     let endpoints = AdminEndpoints {
--- a/src/cli/cli_run.rs
+++ b/src/cli/cli_run.rs
@@ -12,14 +12,14 @@
 };
 use crate::{
     event::log_event,
-    program::{ExitStatus, start_quiet_logs},
+    program::{ExitStatus, init_quiet_logging},
     settings::load_settings,
 };
 
 /// Runs the command line of this process.
 #[must_use]
 pub fn run_cli() -> ExitCode {
-    start_quiet_logs();
+    init_quiet_logging();
     let arguments: Vec<String> = env::args().skip(1).collect();
     log_event!(debug, CliEvent::Started);
     run_arguments(&arguments).into()
--- a/src/control/control_run.rs
+++ b/src/control/control_run.rs
@@ -14,7 +14,7 @@
 };
 use crate::{
     event::log_event,
-    program::start_logs,
+    program::init_logging,
     secret::{SecretError, SecretStore},
 };
 
@@ -50,7 +50,7 @@
 ///
 /// Fails when the replica can't start, or when its log fails.
 pub async fn run_control(settings: ControlSettings) -> Result<(), ControlError> {
-    start_logs(settings.log_format);
+    init_logging(settings.log_format);
     let mut terminate = signal(SignalKind::terminate()).map_err(ControlError::Signals)?;
     if let Some(address) = settings.metrics_listen {
         PrometheusBuilder::new()
--- a/src/program/log_setup.rs
+++ b/src/program/log_setup.rs
@@ -26,7 +26,7 @@
 }
 
 /// Starts logging to standard error; a second call has no effect.
-pub fn start_logs(format: LogFormat) {
+pub fn init_logging(format: LogFormat) {
     start_stderr_logs(format, DEFAULT_FILTER);
 }
 
@@ -42,7 +42,7 @@
 /// A separate thread writes the lines. When the reader of the output is too
 /// slow, lines are dropped; the process never blocks on it.
 #[must_use]
-pub fn start_output_logs(format: LogFormat) -> LogGuard {
+pub fn init_stdout_logging(format: LogFormat) -> LogGuard {
     let filter =
         EnvFilter::try_from_env(FILTER_VARIABLE).unwrap_or_else(|_| EnvFilter::new(DEFAULT_FILTER));
     let (writer, worker) = NonBlockingBuilder::default()
@@ -65,7 +65,7 @@
 
 /// Starts logging for operator commands: by default errors only, since a command
 /// reports through its output.
-pub(crate) fn start_quiet_logs() {
+pub(crate) fn init_quiet_logging() {
     start_stderr_logs(LogFormat::Text, QUIET_FILTER);
 }
 
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -8,11 +8,11 @@
 mod stop_signal;
 
 pub use exit_status::ExitStatus;
-pub use log_setup::{LogFormat, LogGuard, start_logs, start_output_logs};
+pub use log_setup::{LogFormat, LogGuard, init_logging, init_stdout_logging};
 pub use program_options::{ProgramError, ProgramOptions, run_program};
 pub use stop_signal::{StopSignal, StopTrigger};
 
-pub(crate) use log_setup::start_quiet_logs;
+pub(crate) use log_setup::init_quiet_logging;
 pub(crate) use program_event::ProgramEvent;
 
 #[cfg(test)]
