--- a/src/admin/admin_server.rs
+++ b/src/admin/admin_server.rs
@@ -88,7 +88,7 @@
             AdminMethod::Drain.name(),
             |parameters, handlers, _| async move {
                 let request: DrainRequest = parameters.one()?;
-                let report = handlers.drain(DrainCommand::Begin(request)).await;
+                let report = handlers.drain(DrainCommand::Start(request)).await;
                 report.map_err(ErrorObjectOwned::from)
             },
         )
--- a/src/admin/drain_command.rs
+++ b/src/admin/drain_command.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum DrainCommand {
     /// Starts a drain, or sets the deadline of a running one.
-    Begin(DrainRequest),
+    Start(DrainRequest),
     /// Cancels the drain.
     Cancel,
     /// Reports the progress of the drain.
--- a/src/admin/tests/calls.rs
+++ b/src/admin/tests/calls.rs
@@ -52,7 +52,7 @@
     );
     client.cancel_drain().await.expect("a report");
     client.drain_status().await.expect("a report");
-    assert_eq!(received.recv().await, Some(DrainCommand::Begin(request)));
+    assert_eq!(received.recv().await, Some(DrainCommand::Start(request)));
     assert_eq!(received.recv().await, Some(DrainCommand::Cancel));
     assert_eq!(received.recv().await, Some(DrainCommand::Report));
 }
--- a/src/agent/agent_run.rs
+++ b/src/agent/agent_run.rs
@@ -47,14 +47,14 @@
         let node = Arc::clone(&drain_node);
         async move {
             match command {
-                DrainCommand::Begin(request) => {
+                DrainCommand::Start(request) => {
                     let event = DrainEvent::Begin {
                         goal: DrainGoal::Stay,
                         deadline: request.deadline,
                     };
-                    node.order(event).await
+                    node.send_drain_event(event).await
                 }
-                DrainCommand::Cancel => node.order(DrainEvent::Cancel).await,
+                DrainCommand::Cancel => node.send_drain_event(DrainEvent::Cancel).await,
                 DrainCommand::Report => node.drain_report().await,
             }
         }
--- a/src/agent/node/agent_node.rs
+++ b/src/agent/node/agent_node.rs
@@ -210,7 +210,7 @@
     /// Sends an event to the drain: begin, cancel or stop now.
     ///
     /// Returns the drain's progress, or `None` once the drain actor is gone.
-    pub(crate) async fn order(&self, event: DrainEvent) -> Option<DrainReport> {
+    pub(crate) async fn send_drain_event(&self, event: DrainEvent) -> Option<DrainReport> {
         self.drain.ask(DrainInput(event)).await.ok()
     }
 
@@ -220,7 +220,7 @@
             goal: DrainGoal::Exit,
             deadline: None,
         };
-        let _ = self.order(event).await;
+        let _ = self.send_drain_event(event).await;
     }
 
     /// Waits for the end of the drain, withdraws the target and closes the endpoint.
--- a/src/demo/demo_tasks.rs
+++ b/src/demo/demo_tasks.rs
@@ -45,7 +45,7 @@
         deadline: None,
     };
     // If the agent has stopped, its cut streams show it.
-    let _ = target.agent.order(event).await;
+    let _ = target.agent.send_drain_event(event).await;
 }
 
 /// Counts the requests that reach a drained upstream within `span`.
