--- a/src/agent/agent_settings.rs
+++ b/src/agent/agent_settings.rs
@@ -44,7 +44,7 @@
     /// The lifetime of a connection ID; connections survive a rotation of the
     /// secret if both epochs stay valid for longer than this.
     #[serde(rename = "connection_id_millis", default = "default_id_lifetime")]
-    pub connection_id_life: SpanMillis,
+    pub connection_id_lifetime: SpanMillis,
     /// The address of the admin calls.
     #[serde(default)]
     pub admin_listen: Option<SocketAddrV4>,
@@ -100,8 +100,8 @@
                 return out_of_range(field, address.to_string(), allowed);
             }
         }
-        if self.connection_id_life.millis() < MIN_ID_LIFETIME_MILLIS {
-            let value = self.connection_id_life.millis().to_string();
+        if self.connection_id_lifetime.millis() < MIN_ID_LIFETIME_MILLIS {
+            let value = self.connection_id_lifetime.millis().to_string();
             return out_of_range("connection_id_millis", value, "at least 1000");
         }
         Ok(())
--- a/src/agent/node/agent_node.rs
+++ b/src/agent/node/agent_node.rs
@@ -115,7 +115,7 @@
             Arc::clone(&socket),
             secret,
             certificates,
-            settings.connection_id_life,
+            settings.connection_id_lifetime,
         )?;
         let (go_away, go_away_receiver) = watch::channel(0);
         let (exit, exit_receiver) = watch::channel(false);
--- a/src/cli/command/demo_command.rs
+++ b/src/cli/command/demo_command.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     cli::{CliError, OutputFormat, UsageError, block_on},
-    demo::{LEAST_DEMO_SECONDS, run_demo},
+    demo::{MIN_DEMO_SECONDS, run_demo},
     program::ExitStatus,
 };
 
@@ -27,7 +27,7 @@
 impl DemoOptions {
     /// Runs a complete site in this process; fails when a guarantee was violated.
     pub(crate) fn run(&self) -> Result<ExitStatus, CliError> {
-        if self.seconds < LEAST_DEMO_SECONDS {
+        if self.seconds < MIN_DEMO_SECONDS {
             let error = UsageError::BadValue {
                 name: "--seconds",
                 value: self.seconds.to_string(),
@@ -42,7 +42,7 @@
             Ok(report)
         })?;
         OutputFormat::from_flag(self.json).print(&report);
-        Ok(if report.is_kept() {
+        Ok(if report.is_success() {
             ExitStatus::Done
         } else {
             ExitStatus::Failed
--- a/src/demo/demo_report.rs
+++ b/src/demo/demo_report.rs
@@ -44,7 +44,7 @@
 impl DemoReport {
     /// Returns whether all checks of the demo passed.
     #[must_use]
-    pub fn is_kept(&self) -> bool {
+    pub fn is_success(&self) -> bool {
         self.broken_flows == 0
             && self.misrouted == 0
             && self.run_twice == 0
@@ -89,7 +89,7 @@
             Some(millis) => writeln!(formatter, "manifest in force    after {millis} ms")?,
             None => writeln!(formatter, "manifest in force    never")?,
         }
-        let verdict = if self.is_kept() { "kept" } else { "BROKEN" };
+        let verdict = if self.is_success() { "kept" } else { "BROKEN" };
         write!(formatter, "promises             {verdict}")
     }
 }
--- a/src/demo/demo_run.rs
+++ b/src/demo/demo_run.rs
@@ -18,7 +18,7 @@
 };
 
 /// The shortest demo that leaves enough time for each phase.
-pub const LEAST_DEMO_SECONDS: u64 = 6;
+pub const MIN_DEMO_SECONDS: u64 = 6;
 /// The timeout for each part of the site to start.
 const START_SECONDS: u64 = 30;
 /// The interval between two checks of a condition.
@@ -54,7 +54,7 @@
     seconds: u64,
     progress: impl Fn(&str) + Sync,
 ) -> Result<DemoReport, DemoError> {
-    let phase_time = Duration::from_secs(seconds.max(LEAST_DEMO_SECONDS)) / PHASES;
+    let phase_time = Duration::from_secs(seconds.max(MIN_DEMO_SECONDS)) / PHASES;
     progress("starting control replicas, balancers, agents and upstreams");
     let mut run = DemoRun::start(folder).await?;
     let streams = run.open_streams().await?;
--- a/src/demo/demo_site.rs
+++ b/src/demo/demo_site.rs
@@ -25,7 +25,7 @@
 };
 
 /// How long connection IDs stay in use.
-const CONNECTION_ID_LIFE: SpanMillis = SpanMillis::new(600_000);
+const CONNECTION_ID_LIFETIME: SpanMillis = SpanMillis::new(600_000);
 /// The port of the first service; the next services have the ports after it.
 const FIRST_PORT: u16 = 4433;
 
@@ -119,7 +119,7 @@
             control: self.control_addresses(),
             secret_file: self.secret_file(),
             tls: self.certificates.clone(),
-            connection_id_life: CONNECTION_ID_LIFE,
+            connection_id_lifetime: CONNECTION_ID_LIFETIME,
             admin_listen: None,
             metrics_listen: None,
             log_format: LogFormat::Text,
--- a/src/demo/fabric_stand_in.rs
+++ b/src/demo/fabric_stand_in.rs
@@ -29,7 +29,7 @@
     service: UdpSocket,
     source_ip: Ipv4Addr,
     balancers: Mutex<Vec<SocketAddrV4>>,
-    carried: AtomicU64,
+    forwarded_datagrams: AtomicU64,
 }
 
 impl FabricStandIn {
@@ -49,7 +49,7 @@
             service: UdpSocket::bind(service).await?,
             source_ip,
             balancers: Mutex::new(balancers),
-            carried: AtomicU64::new(0),
+            forwarded_datagrams: AtomicU64::new(0),
         });
         let mut tasks = JoinSet::new();
         tasks.spawn(forward_from_callers(Arc::clone(&shared)));
@@ -70,8 +70,8 @@
 
     /// Returns the number of datagrams forwarded to balancers.
     #[must_use]
-    pub fn carried(&self) -> u64 {
-        self.shared.carried.load(Ordering::Relaxed)
+    pub fn forwarded_datagrams(&self) -> u64 {
+        self.shared.forwarded_datagrams.load(Ordering::Relaxed)
     }
 }
 
@@ -112,7 +112,7 @@
             socket
         };
         if let Some(balancer) = shared.pick_balancer() {
-            shared.carried.fetch_add(1, Ordering::Relaxed);
+            shared.forwarded_datagrams.fetch_add(1, Ordering::Relaxed);
             let _ = socket.send_to(&datagram[..length], balancer).await;
         }
     }
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -13,7 +13,7 @@
 
 pub use demo_error::DemoError;
 pub use demo_report::DemoReport;
-pub use demo_run::{LEAST_DEMO_SECONDS, run_demo};
+pub use demo_run::{MIN_DEMO_SECONDS, run_demo};
 pub use fabric_stand_in::FabricStandIn;
 pub use upstream_stand_in::UpstreamStandIn;
 
--- a/src/demo/tests.rs
+++ b/src/demo/tests.rs
@@ -37,7 +37,7 @@
 fn any_failed_check_fails_the_report(#[case] change: fn(&mut DemoReport), #[case] passes: bool) {
     let mut report = passing_report();
     change(&mut report);
-    assert_eq!(report.is_kept(), passes);
+    assert_eq!(report.is_success(), passes);
 }
 
 #[rstest]
--- a/tests/thin_path.rs
+++ b/tests/thin_path.rs
@@ -33,7 +33,11 @@
         assert_eq!(echo.status, 200);
         assert_eq!(echo.body, upload);
     }
-    assert!(fabrics.iter().all(|fabric| fabric.carried() > 100));
+    assert!(
+        fabrics
+            .iter()
+            .all(|fabric| fabric.forwarded_datagrams() > 100)
+    );
     let expected_series = [
         (
             site.balancer_metrics(0),
