--- a/src/agent/agent_settings.rs
+++ b/src/agent/agent_settings.rs
@@ -9,7 +9,7 @@
     clock::SpanMillis,
     key::FailureDomain,
     program::LogFormat,
-    settings::{SettingsCheck, SettingsError},
+    settings::{SettingsError, ValidateSettings},
     tls::CertificateFiles,
 };
 
@@ -64,8 +64,8 @@
     SpanMillis::new(600_000)
 }
 
-impl SettingsCheck for AgentSettings {
-    fn check(&self, path: &Path) -> Result<(), SettingsError> {
+impl ValidateSettings for AgentSettings {
+    fn validate(&self, path: &Path) -> Result<(), SettingsError> {
         let out_of_range = |field, value: String, allowed| {
             Err(SettingsError::OutOfRange {
                 path: path.to_owned(),
--- a/src/agent/endpoint/tests/duplicated_first_packets.rs
+++ b/src/agent/endpoint/tests/duplicated_first_packets.rs
@@ -24,7 +24,7 @@
     manifest::ServiceLimits,
     route::{ConnectionRoute, PacketHeader},
     secret::{DeploymentSecret, SecretStore},
-    tls::{CertificateStore, ServerTrust, TestCertificate, client_config},
+    tls::{CertificateStore, TestCertificate, TrustedRoots, client_config},
     tunnel::{FrameHeader, FrameKind},
 };
 
@@ -157,8 +157,8 @@
     tasks.spawn(serve_echo(second));
     tasks.spawn(duplicate_first_packets(service, tunnel, secret, agents));
 
-    let trust = ServerTrust::load(&folder.path().join("root.pem")).expect("own root");
-    let crypto = QuicClientConfig::try_from(client_config(trust).expect("settings"));
+    let trusted_roots = TrustedRoots::load(&folder.path().join("root.pem")).expect("own root");
+    let crypto = QuicClientConfig::try_from(client_config(trusted_roots).expect("settings"));
     let config = ClientConfig::new(Arc::new(crypto.expect("a QUIC cipher")));
     let callers: Vec<JoinHandle<()>> = (0..CALLERS)
         .map(|_| {
--- a/src/agent/relay/peer_head.rs
+++ b/src/agent/relay/peer_head.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     agent::claim::ClaimKey,
-    proof::{CALL_HEADER, CallHead, CallProof, ProofError, wall_now},
+    proof::{CALL_HEADER, CallHead, CallProof, ProofError, unix_time_now},
     secret::KeyRing,
 };
 
@@ -74,7 +74,7 @@
             method: method.as_str(),
             path: &path,
         };
-        let proof = CallProof::new(ring.active(), head, body, wall_now(), rand::random());
+        let proof = CallProof::new(ring.active(), head, body, unix_time_now(), rand::random());
         if let Ok(value) = HeaderValue::from_str(&proof.to_string()) {
             headers.insert(CALL_HEADER, value);
         }
@@ -97,7 +97,7 @@
             method: method.as_str(),
             path: &path,
         };
-        proof.verify(ring, head, wall_now())?;
+        proof.verify(ring, head, unix_time_now())?;
         let purpose = PeerPurpose::remove_from(headers).ok_or(PeerHeadError::Purpose)?;
         let nonce = proof.nonce();
         Ok((Self { purpose, nonce }, proof))
--- a/src/balancer/balancer_settings.rs
+++ b/src/balancer/balancer_settings.rs
@@ -8,7 +8,7 @@
 use crate::{
     key::FailureDomain,
     program::LogFormat,
-    settings::{SettingsCheck, SettingsError},
+    settings::{SettingsError, ValidateSettings},
 };
 
 /// Maximum number of source ports of the tunnel.
@@ -52,8 +52,8 @@
     2
 }
 
-impl SettingsCheck for BalancerSettings {
-    fn check(&self, path: &Path) -> Result<(), SettingsError> {
+impl ValidateSettings for BalancerSettings {
+    fn validate(&self, path: &Path) -> Result<(), SettingsError> {
         let out_of_range = |field, value: String, allowed| {
             Err(SettingsError::OutOfRange {
                 path: path.to_owned(),
--- a/src/caller/service_caller.rs
+++ b/src/caller/service_caller.rs
@@ -14,7 +14,7 @@
 use super::{CallRequest, CallResponse, CallerError, ResponseStream};
 use crate::{
     clock::SpanMillis,
-    tls::{ServerTrust, client_config},
+    tls::{TrustedRoots, client_config},
 };
 
 /// The interval of keep-alive packets on an idle connection.
@@ -41,9 +41,9 @@
     pub async fn connect(
         address: SocketAddrV4,
         service: &str,
-        trust: ServerTrust,
+        trusted_roots: TrustedRoots,
     ) -> Result<Self, CallerError> {
-        let endpoint = open_endpoint(trust)?;
+        let endpoint = open_endpoint(trusted_roots)?;
         let connection = endpoint
             .connect(SocketAddr::V4(address), service)
             .map_err(|cause| CallerError::Connect { address, cause })?
@@ -100,10 +100,11 @@
     }
 }
 
-fn open_endpoint(trust: ServerTrust) -> Result<Endpoint, CallerError> {
+fn open_endpoint(trusted_roots: TrustedRoots) -> Result<Endpoint, CallerError> {
     let any_port = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0));
     let mut endpoint = Endpoint::client(any_port).map_err(CallerError::Socket)?;
-    let config = QuicClientConfig::try_from(client_config(trust)?).map_err(CallerError::Cipher)?;
+    let config =
+        QuicClientConfig::try_from(client_config(trusted_roots)?).map_err(CallerError::Cipher)?;
     let mut transport = TransportConfig::default();
     transport.keep_alive_interval(Some(KEEP_ALIVE_MILLIS.duration()));
     let mut config = ClientConfig::new(Arc::new(config));
--- a/src/cli/cli_run.rs
+++ b/src/cli/cli_run.rs
@@ -38,11 +38,11 @@
     };
     if options.help_requested() {
         print_help(&options);
-        return ExitStatus::Done;
+        return ExitStatus::Success;
     }
     if options.version {
         println!("cyclamen {}", env!("CARGO_PKG_VERSION"));
-        return ExitStatus::Done;
+        return ExitStatus::Success;
     }
     if options.check_settings {
         return check_settings(options.settings.as_deref());
@@ -67,7 +67,7 @@
     match load_settings::<OperatorSettings>(path) {
         Ok(_) => {
             println!("{}: settings are good", path.display());
-            ExitStatus::Done
+            ExitStatus::Success
         }
         Err(error) => report_error(OutputFormat::Text, &error.into()),
     }
--- a/src/cli/command/apply_command.rs
+++ b/src/cli/command/apply_command.rs
@@ -130,7 +130,7 @@
     fn exit_status(&self) -> ExitStatus {
         match &self.in_force {
             Some(report) if !report.everywhere => ExitStatus::Failed,
-            _ => ExitStatus::Done,
+            _ => ExitStatus::Success,
         }
     }
 }
--- a/src/cli/command/call_command.rs
+++ b/src/cli/command/call_command.rs
@@ -7,7 +7,7 @@
     caller::{CallRequest, CallResponse, CallerError, ServiceCaller},
     cli::{CliError, OutputFormat, UsageError},
     program::ExitStatus,
-    tls::ServerTrust,
+    tls::TrustedRoots,
 };
 
 /// The options of `cyclamen call`.
@@ -76,7 +76,7 @@
         let report = CallReport::new(&response);
         OutputFormat::from_flag(self.json).print(&report);
         Ok(if response.is_success() {
-            ExitStatus::Done
+            ExitStatus::Success
         } else {
             ExitStatus::Failed
         })
@@ -90,7 +90,7 @@
         let name = name.ok_or(UsageError::Missing { name: "--name" })?;
         let ca = self.ca.as_ref();
         let ca = ca.ok_or(UsageError::Missing { name: "--ca" })?;
-        let caller = ServiceCaller::connect(address, name, ServerTrust::load(ca)?).await?;
+        let caller = ServiceCaller::connect(address, name, TrustedRoots::load(ca)?).await?;
         let response: Result<CallResponse, CallerError> = caller.send(request).await;
         caller.close().await;
         Ok(response?)
--- a/src/cli/command/certificate_command.rs
+++ b/src/cli/command/certificate_command.rs
@@ -61,7 +61,7 @@
             names: self.names.clone(),
         };
         OutputFormat::from_flag(self.json).print(&report);
-        Ok(ExitStatus::Done)
+        Ok(ExitStatus::Success)
     }
 }
 
--- a/src/cli/command/check_command.rs
+++ b/src/cli/command/check_command.rs
@@ -60,7 +60,7 @@
             Err(error) => return Err(error),
         };
         let status = if report.valid {
-            ExitStatus::Done
+            ExitStatus::Success
         } else {
             ExitStatus::Failed
         };
--- a/src/cli/command/demo_command.rs
+++ b/src/cli/command/demo_command.rs
@@ -43,7 +43,7 @@
         })?;
         OutputFormat::from_flag(self.json).print(&report);
         Ok(if report.is_success() {
-            ExitStatus::Done
+            ExitStatus::Success
         } else {
             ExitStatus::Failed
         })
--- a/src/cli/command/drain_command.rs
+++ b/src/cli/command/drain_command.rs
@@ -86,7 +86,7 @@
             report,
         };
         OutputFormat::from_flag(self.json).print(&report);
-        Ok(ExitStatus::Done)
+        Ok(ExitStatus::Success)
     }
 
     async fn send_command(&self, client: &AdminClient) -> Result<DrainReport, CliError> {
--- a/src/cli/command/dump_command.rs
+++ b/src/cli/command/dump_command.rs
@@ -49,7 +49,7 @@
         let client = AdminClient::new(address, access.secret()?)?;
         let report = DumpReport(client.dump().await?);
         OutputFormat::Json.print(&report);
-        Ok(ExitStatus::Done)
+        Ok(ExitStatus::Success)
     }
 }
 
--- a/src/cli/command/inspect_command.rs
+++ b/src/cli/command/inspect_command.rs
@@ -54,7 +54,7 @@
             .await
             .map_err(|cause| CliError::Inspect { address, cause })?;
         OutputFormat::from_flag(self.json).print(&InspectReport(reply));
-        Ok(ExitStatus::Done)
+        Ok(ExitStatus::Success)
     }
 
     fn request(&self) -> Result<InspectRequest, CliError> {
--- a/src/cli/command/secret_command.rs
+++ b/src/cli/command/secret_command.rs
@@ -11,7 +11,7 @@
     cli::{CliError, OutputFormat, UsageError},
     program::ExitStatus,
     secret::DeploymentSecret,
-    settings::write_private,
+    settings::write_private_file,
 };
 
 /// The epoch of a deployment's first secret.
@@ -87,7 +87,7 @@
             SecretAction::Rotate(step) => rotate(DeploymentSecret::load(&path)?, step)?,
         };
         let text = serde_json::to_string_pretty(&secret).unwrap_or_default();
-        write_private(&path, &text).map_err(|cause| CliError::Unwritable {
+        write_private_file(&path, &text).map_err(|cause| CliError::Unwritable {
             path: path.clone(),
             cause,
         })?;
@@ -97,7 +97,7 @@
             epochs: secret.epochs.iter().map(|epoch| epoch.epoch).collect(),
         };
         OutputFormat::from_flag(self.json).print(&report);
-        Ok(ExitStatus::Done)
+        Ok(ExitStatus::Success)
     }
 
     fn action(&self) -> Result<(SecretAction, PathBuf), UsageError> {
@@ -145,8 +145,8 @@
 fn rotate(secret: DeploymentSecret, step: RotationStep) -> Result<DeploymentSecret, CliError> {
     let rotated = match step {
         RotationStep::Add => secret.with_next_epoch()?,
-        RotationStep::Activate => secret.with_newest_active()?,
-        RotationStep::Retire => secret.with_active_alone()?,
+        RotationStep::Activate => secret.with_next_epoch_active()?,
+        RotationStep::Retire => secret.with_active_epoch_only()?,
     };
     Ok(rotated)
 }
--- a/src/cli/command/status_command.rs
+++ b/src/cli/command/status_command.rs
@@ -58,7 +58,7 @@
             status,
         };
         OutputFormat::from_flag(self.json).print(&report);
-        Ok(ExitStatus::Done)
+        Ok(ExitStatus::Success)
     }
 }
 
--- a/src/cli/operator_settings.rs
+++ b/src/cli/operator_settings.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::settings::{SettingsCheck, SettingsError};
+use crate::settings::{SettingsError, ValidateSettings};
 
 /// The settings of `cyclamen`: defaults for options of its commands.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -19,8 +19,8 @@
     pub secret: Option<PathBuf>,
 }
 
-impl SettingsCheck for OperatorSettings {
-    fn check(&self, path: &Path) -> Result<(), SettingsError> {
+impl ValidateSettings for OperatorSettings {
+    fn validate(&self, path: &Path) -> Result<(), SettingsError> {
         match self.control.iter().find(|address| address.port() == 0) {
             Some(address) => Err(SettingsError::OutOfRange {
                 path: path.to_owned(),
--- a/src/cli/tests/arguments.rs
+++ b/src/cli/tests/arguments.rs
@@ -26,11 +26,14 @@
 #[case(&["--version"])]
 #[case(&["check", "--help"])]
 fn help_and_version_succeed(#[case] arguments: &[&str]) {
-    assert_eq!(run(arguments), ExitStatus::Done);
+    assert_eq!(run(arguments), ExitStatus::Success);
 }
 
 #[rstest]
-#[case::good(r#"{"version": 1, "replaces": 0, "services": []}"#, ExitStatus::Done)]
+#[case::good(
+    r#"{"version": 1, "replaces": 0, "services": []}"#,
+    ExitStatus::Success
+)]
 #[case::fault(r#"{"version": 1, "replaces": 1, "services": []}"#, ExitStatus::Failed)]
 #[case::malformed(r#"{"version": 1, "replaces": 0, "#, ExitStatus::Failed)]
 fn the_exit_status_of_check_shows_whether_a_manifest_is_valid(
--- a/src/cli/tests/secrets.rs
+++ b/src/cli/tests/secrets.rs
@@ -14,14 +14,14 @@
         let epochs: Vec<u8> = secret.epochs.iter().map(|epoch| epoch.epoch).collect();
         (secret.active, epochs)
     };
-    assert_eq!(run(&["secret", "new", name]), ExitStatus::Done);
+    assert_eq!(run(&["secret", "new", name]), ExitStatus::Success);
     assert_eq!(step("activate"), ExitStatus::Failed);
-    assert_eq!(step("add"), ExitStatus::Done);
+    assert_eq!(step("add"), ExitStatus::Success);
     assert_eq!(epochs(), (1, vec![1, 2]));
     assert_eq!(step("retire"), ExitStatus::Failed);
-    assert_eq!(step("activate"), ExitStatus::Done);
+    assert_eq!(step("activate"), ExitStatus::Success);
     assert_eq!(epochs(), (2, vec![1, 2]));
-    assert_eq!(step("retire"), ExitStatus::Done);
+    assert_eq!(step("retire"), ExitStatus::Success);
     assert_eq!(epochs(), (2, vec![2]));
 }
 
--- a/src/control/control_settings.rs
+++ b/src/control/control_settings.rs
@@ -14,7 +14,7 @@
 use crate::{
     key::FailureDomain,
     program::LogFormat,
-    settings::{SettingsCheck, SettingsError},
+    settings::{SettingsError, ValidateSettings},
 };
 
 /// The folder of the replicated log, within the data folder.
@@ -86,8 +86,8 @@
     }
 }
 
-impl SettingsCheck for ControlSettings {
-    fn check(&self, path: &Path) -> Result<(), SettingsError> {
+impl ValidateSettings for ControlSettings {
+    fn validate(&self, path: &Path) -> Result<(), SettingsError> {
         if self.name.is_empty() {
             return Err(SettingsError::OutOfRange {
                 path: path.to_owned(),
--- a/src/demo/demo_load.rs
+++ b/src/demo/demo_load.rs
@@ -8,7 +8,7 @@
 use crate::{
     caller::{CallRequest, CallResponse, CallerError, ResponseStream, ServiceCaller},
     program::StopSignal,
-    tls::ServerTrust,
+    tls::TrustedRoots,
 };
 
 /// Requests per connection of a caller.
@@ -26,13 +26,13 @@
     /// The address of the service.
     pub(super) address: SocketAddrV4,
     /// The root that signed the certificate of the agents.
-    pub(super) trust: ServerTrust,
+    pub(super) trusted_roots: TrustedRoots,
 }
 
 impl DemoService {
     /// Connects to a target chosen by the balancers; none if that fails or times out.
     pub(super) async fn connect(&self) -> Option<ServiceCaller> {
-        let attempt = ServiceCaller::connect(self.address, self.name, self.trust.clone());
+        let attempt = ServiceCaller::connect(self.address, self.name, self.trusted_roots.clone());
         tokio::time::timeout(CONNECT_TIMEOUT, attempt)
             .await
             .ok()?
--- a/src/demo/demo_site.rs
+++ b/src/demo/demo_site.rs
@@ -20,8 +20,8 @@
     manifest::Manifest,
     program::LogFormat,
     secret::{DeploymentSecret, SecretStore},
-    settings::write_private,
-    tls::{CertificateFiles, ServerTrust, TestCertificate},
+    settings::write_private_file,
+    tls::{CertificateFiles, TestCertificate, TrustedRoots},
 };
 
 /// How long connection IDs stay in use.
@@ -55,7 +55,7 @@
         let names: Vec<&str> = SERVICES.iter().map(|service| service.name).collect();
         let certificates = TestCertificate::new(&names)?.write(folder)?;
         let text = serde_json::to_string(&DeploymentSecret::random(1)).unwrap_or_default();
-        write_private(&folder.join("secret.json"), &text)
+        write_private_file(&folder.join("secret.json"), &text)
             .map_err(preparing("the deployment secret"))?;
         Ok(Self {
             folder: folder.to_owned(),
@@ -158,7 +158,7 @@
         Ok(DemoService {
             name: SERVICES[index].name,
             address: self.service_address(index),
-            trust: ServerTrust::load(&self.folder.join("root.pem"))?,
+            trusted_roots: TrustedRoots::load(&self.folder.join("root.pem"))?,
         })
     }
 
--- a/src/lab/lab_cli.rs
+++ b/src/lab/lab_cli.rs
@@ -119,7 +119,7 @@
         }
     };
     match outcome {
-        Ok(()) => ExitStatus::Done.into(),
+        Ok(()) => ExitStatus::Success.into(),
         Err(error) => {
             eprintln!("{:?}", miette::Report::new(error));
             ExitStatus::Failed.into()
--- a/src/program/exit_status.rs
+++ b/src/program/exit_status.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitStatus {
     /// Success.
-    Done,
+    Success,
     /// The program failed.
     Failed,
     /// The command line is invalid.
@@ -14,7 +14,7 @@
 impl From<ExitStatus> for ExitCode {
     fn from(status: ExitStatus) -> Self {
         match status {
-            ExitStatus::Done => Self::SUCCESS,
+            ExitStatus::Success => Self::SUCCESS,
             ExitStatus::Failed => Self::from(1),
             ExitStatus::Usage => Self::from(2),
         }
--- a/src/program/program_options.rs
+++ b/src/program/program_options.rs
@@ -5,7 +5,7 @@
 use thiserror::Error;
 
 use super::ExitStatus;
-use crate::settings::{SettingsCheck, SettingsError, load_settings};
+use crate::settings::{SettingsError, ValidateSettings, load_settings};
 
 /// The command line of a long-running program.
 #[derive(Debug, Options)]
@@ -38,7 +38,7 @@
 /// `run` gets the validated settings and returns when the program should stop.
 pub fn run_program<T, F, E>(name: &str, run: impl FnOnce(T) -> F) -> ExitCode
 where
-    T: SettingsCheck,
+    T: ValidateSettings,
     F: Future<Output = Result<(), E>>,
     E: Diagnostic + Send + Sync + 'static,
 {
@@ -55,11 +55,11 @@
             "Usage: {name} --settings FILE\n\n{}",
             ProgramOptions::usage()
         );
-        return ExitStatus::Done.into();
+        return ExitStatus::Success.into();
     }
     if options.version {
         println!("{name} {}", env!("CARGO_PKG_VERSION"));
-        return ExitStatus::Done.into();
+        return ExitStatus::Success.into();
     }
     let Some(path) = options.settings else {
         eprintln!("{name}: --settings FILE is required; see {name} --help");
@@ -71,7 +71,7 @@
     };
     if options.check_settings {
         println!("{}: settings are good", path.display());
-        return ExitStatus::Done.into();
+        return ExitStatus::Success.into();
     }
     let runtime = match tokio::runtime::Builder::new_multi_thread()
         .enable_all()
@@ -84,7 +84,7 @@
         }
     };
     match runtime.block_on(run(settings)) {
-        Ok(()) => ExitStatus::Done.into(),
+        Ok(()) => ExitStatus::Success.into(),
         Err(error) => print_error(error),
     }
 }
--- a/src/proof/client_proof_layer.rs
+++ b/src/proof/client_proof_layer.rs
@@ -12,7 +12,9 @@
 };
 use tower::{Layer, Service};
 
-use super::{CALL_HEADER, CallHead, CallProof, ProofError, REPLY_HEADER, ReplyProof, wall_now};
+use super::{
+    CALL_HEADER, CallHead, CallProof, ProofError, REPLY_HEADER, ReplyProof, unix_time_now,
+};
 use crate::secret::SecretStore;
 
 /// Client side: adds a proof to every call of a JSON-RPC client and verifies the
@@ -41,7 +43,7 @@
             path: parts.uri.path(),
         };
         let keys = self.secret.keys();
-        let proof = CallProof::new(keys.active(), head, &body, wall_now(), rand::random());
+        let proof = CallProof::new(keys.active(), head, &body, unix_time_now(), rand::random());
         let value = http::HeaderValue::try_from(proof.to_string())?;
         parts.headers.insert(CALL_HEADER, value);
         let request = HttpRequest::from_parts(parts, HttpBody::new(Full::new(body)));
--- a/src/proof/mod.rs
+++ b/src/proof/mod.rs
@@ -10,14 +10,14 @@
 mod proof_error;
 mod reply_proof;
 mod server_proof_layer;
-mod wall_clock;
+mod unix_time;
 
 pub(crate) use call_proof::{CallHead, CallProof};
 pub(crate) use client_proof_layer::{ClientProofLayer, ClientProofService};
 pub use proof_error::ProofError;
 pub(crate) use reply_proof::ReplyProof;
 pub(crate) use server_proof_layer::ServerProofLayer;
-pub(crate) use wall_clock::wall_now;
+pub(crate) use unix_time::unix_time_now;
 
 /// The header with the proof of a call.
 pub(crate) const CALL_HEADER: &str = "cyclamen-proof";
--- a/src/proof/server_proof_layer.rs
+++ b/src/proof/server_proof_layer.rs
@@ -13,7 +13,9 @@
 use metrics::counter;
 use tower::{Layer, Service};
 
-use super::{CALL_HEADER, CallHead, CallProof, ProofError, REPLY_HEADER, ReplyProof, wall_now};
+use super::{
+    CALL_HEADER, CallHead, CallProof, ProofError, REPLY_HEADER, ReplyProof, unix_time_now,
+};
 use crate::{clock::SpanMillis, secret::SecretStore};
 
 /// The timeout for reading the body of an authenticated call.
@@ -58,7 +60,7 @@
             method: request.method().as_str(),
             path: request.uri().path(),
         };
-        proof.verify(&self.secret.keys(), head, wall_now())?;
+        proof.verify(&self.secret.keys(), head, unix_time_now())?;
         Ok(proof)
     }
 
--- a/src/proof/tests/layer.rs
+++ b/src/proof/tests/layer.rs
@@ -25,7 +25,7 @@
     clock::{ClockMillis, SpanMillis},
     proof::{
         CALL_HEADER, CallHead, CallProof, ClientProofLayer, REPLY_HEADER, ReplyProof,
-        ServerProofLayer, wall_now,
+        ServerProofLayer, unix_time_now,
     },
     secret::SecretStore,
 };
@@ -80,7 +80,7 @@
 
 fn invalid_call(call: InvalidCall) -> (Option<String>, Vec<u8>) {
     let body = b"{}".to_vec();
-    let now = wall_now();
+    let now = unix_time_now();
     let header = match call {
         InvalidCall::Missing => None,
         InvalidCall::OtherSecret => Some(proof(&store(2), &body, now)),
@@ -143,7 +143,7 @@
     let read = Arc::new(AtomicUsize::new(0));
     let body = CountedBody(Arc::clone(&read));
     let request = HttpRequest::post("/")
-        .header(CALL_HEADER, proof(&store(2), b"", wall_now()))
+        .header(CALL_HEADER, proof(&store(2), b"", unix_time_now()))
         .body(HttpBody::new(body))
         .expect("a valid request");
     let inner = service_fn(|_: HttpRequest<HttpBody>| {
@@ -158,7 +158,7 @@
 #[tokio::test]
 async fn the_reply_to_an_authenticated_call_carries_a_proof() {
     let store = store(1);
-    let header = proof(&store, b"{}", wall_now());
+    let header = proof(&store, b"{}", unix_time_now());
     let (response, reached) = send(Some(header), b"{}".to_vec()).await;
     assert_eq!(reached, 1);
     let text = response.headers()[REPLY_HEADER]
--- a/src/proof/wall_clock.rs
+++ b/src/proof/unix_time.rs
@@ -3,7 +3,7 @@
 use crate::clock::ClockMillis;
 
 /// Returns the time since the Unix epoch; only proofs compare it between processes.
-pub(crate) fn wall_now() -> ClockMillis {
+pub(crate) fn unix_time_now() -> ClockMillis {
     let elapsed = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
--- a/src/secret/secret_rotation.rs
+++ b/src/secret/secret_rotation.rs
@@ -22,7 +22,7 @@
     /// # Errors
     ///
     /// Fails when no rotation is in progress.
-    pub fn with_newest_active(mut self) -> Result<Self, SecretError> {
+    pub fn with_next_epoch_active(mut self) -> Result<Self, SecretError> {
         let [_, newest] = self.epochs.as_slice() else {
             return Err(SecretError::NoRotation);
         };
@@ -35,7 +35,7 @@
     /// # Errors
     ///
     /// Fails when the added epoch is not active yet, or no rotation is in progress.
-    pub fn with_active_alone(mut self) -> Result<Self, SecretError> {
+    pub fn with_active_epoch_only(mut self) -> Result<Self, SecretError> {
         let [old, _] = self.epochs.as_slice() else {
             return Err(SecretError::NoRotation);
         };
--- a/src/settings/private_file.rs
+++ b/src/settings/private_file.rs
@@ -16,7 +16,7 @@
 /// # Errors
 ///
 /// Fails when the temporary file can't be written, renamed or synced.
-pub fn write_private(path: &Path, text: &str) -> io::Result<()> {
+pub fn write_private_file(path: &Path, text: &str) -> io::Result<()> {
     let temp_path = temp_path_for(path);
     let result = write_temp_file(&temp_path, text).and_then(|()| fs::rename(&temp_path, path));
     if result.is_err() {
--- a/src/settings/settings_file.rs
+++ b/src/settings/settings_file.rs
@@ -5,13 +5,13 @@
 use super::SettingsError;
 
 /// Settings that can be validated before the program starts.
-pub trait SettingsCheck: DeserializeOwned {
+pub trait ValidateSettings: DeserializeOwned {
     /// Validates the values; `path` is only used in errors.
     ///
     /// # Errors
     ///
     /// Fails with the first field whose value is not allowed.
-    fn check(&self, path: &Path) -> Result<(), SettingsError>;
+    fn validate(&self, path: &Path) -> Result<(), SettingsError>;
 }
 
 /// Reads, decodes and validates the settings file at `path`.
@@ -20,13 +20,13 @@
 ///
 /// Fails when the file can't be read, is malformed or has a value that is not
 /// allowed.
-pub fn load_settings<T: SettingsCheck>(path: &Path) -> Result<T, SettingsError> {
+pub fn load_settings<T: ValidateSettings>(path: &Path) -> Result<T, SettingsError> {
     let text = fs::read_to_string(path).map_err(|cause| SettingsError::Unreadable {
         path: path.to_owned(),
         cause,
     })?;
     let settings: T = parse_settings(&text, path)?;
-    settings.check(path)?;
+    settings.validate(path)?;
     Ok(settings)
 }
 
--- a/src/tls/test_certificate.rs
+++ b/src/tls/test_certificate.rs
@@ -6,7 +6,7 @@
 };
 
 use super::{CertificateFiles, TlsError};
-use crate::settings::write_private;
+use crate::settings::write_private_file;
 
 /// A server certificate for tests, signed by a root generated along with it.
 ///
@@ -58,7 +58,7 @@
             let path = path.to_owned();
             move |cause| TlsError::Unwritable { path, cause }
         };
-        write_private(&files.key, &self.key).map_err(unwritable(&files.key))?;
+        write_private_file(&files.key, &self.key).map_err(unwritable(&files.key))?;
         fs::write(&files.certificate, &self.certificate).map_err(unwritable(&files.certificate))?;
         let root = folder.join("root.pem");
         fs::write(&root, &self.root).map_err(unwritable(&root))?;
--- a/src/tls/tests/handshake.rs
+++ b/src/tls/tests/handshake.rs
@@ -6,7 +6,7 @@
 use rustls_pki_types::ServerName;
 
 use super::write_files;
-use crate::tls::{CertificateStore, ServerTrust, client_config, server_config};
+use crate::tls::{CertificateStore, TrustedRoots, client_config, server_config};
 
 /// Passes TLS records between client and server until both finish the
 /// handshake.
@@ -35,9 +35,10 @@
     let folder = tempfile::tempdir().expect("a temporary folder");
     let files = write_files(&folder);
     let store = CertificateStore::new(files).expect("a valid certificate and key");
-    let trust = ServerTrust::load(&folder.path().join("root.pem")).expect("a root certificate");
+    let trusted_roots =
+        TrustedRoots::load(&folder.path().join("root.pem")).expect("a root certificate");
     let server = server_config(store).expect("a valid configuration");
-    let client = client_config(trust).expect("a valid configuration");
+    let client = client_config(trusted_roots).expect("a valid configuration");
     let name = ServerName::try_from(name).expect("a server name");
     let mut client = ClientConnection::new(Arc::new(client), name)?;
     let mut server = ServerConnection::new(Arc::new(server))?;
--- a/src/tls/tls_config.rs
+++ b/src/tls/tls_config.rs
@@ -2,7 +2,7 @@
 
 use rustls::{ClientConfig, ServerConfig, crypto::ring, version::TLS13};
 
-use super::{CertificateStore, ServerTrust, TlsError};
+use super::{CertificateStore, TlsError, TrustedRoots};
 
 /// The ALPN protocol ID of HTTP/3.
 const HTTP3_PROTOCOL: &[u8] = b"h3";
@@ -26,16 +26,16 @@
     Ok(config)
 }
 
-/// Returns the TLS configuration of an HTTP/3 client with the roots of `trust`.
+/// Returns the TLS configuration of an HTTP/3 client with the roots of `trusted_roots`.
 ///
 /// # Errors
 ///
 /// Fails when rustls rejects the protocol versions.
-pub fn client_config(trust: ServerTrust) -> Result<ClientConfig, TlsError> {
+pub fn client_config(trusted_roots: TrustedRoots) -> Result<ClientConfig, TlsError> {
     let mut config = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()))
         .with_protocol_versions(&[&TLS13])
         .map_err(TlsError::Protocol)?
-        .with_root_certificates(trust.into_roots())
+        .with_root_certificates(trusted_roots.into_roots())
         .with_no_client_auth();
     config.alpn_protocols = vec![HTTP3_PROTOCOL.to_vec()];
     Ok(config)
--- a/src/tls/server_trust.rs
+++ b/src/tls/trusted_roots.rs
@@ -6,11 +6,11 @@
 
 /// The root certificates that a client trusts.
 #[derive(Debug, Clone)]
-pub struct ServerTrust {
+pub struct TrustedRoots {
     roots: RootCertStore,
 }
 
-impl ServerTrust {
+impl TrustedRoots {
     /// Trusts the certificates of the PEM file at `path` and no others.
     ///
     /// # Errors
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -23,7 +23,7 @@
     demo::UpstreamStandIn,
     manifest::Manifest,
     secret::{DeploymentSecret, SecretEpoch, SecretStore},
-    tls::{CertificateFiles, ServerTrust, TestCertificate},
+    tls::{CertificateFiles, TestCertificate, TrustedRoots},
 };
 use serde_json::{Value, json};
 use tempfile::TempDir;
@@ -282,8 +282,8 @@
         .await;
     }
 
-    pub fn trust(&self) -> ServerTrust {
-        ServerTrust::load(&self.folder.path().join("root.pem")).expect("own root")
+    pub fn trusted_roots(&self) -> TrustedRoots {
+        TrustedRoots::load(&self.folder.path().join("root.pem")).expect("own root")
     }
 
     /// Connects to a service, retrying until an agent accepts.
@@ -291,7 +291,7 @@
         let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
             let address = self.service_address(index);
-            let attempt = ServiceCaller::connect(address, service, self.trust());
+            let attempt = ServiceCaller::connect(address, service, self.trusted_roots());
             let error = match tokio::time::timeout(Duration::from_secs(5), attempt).await {
                 Ok(Ok(caller)) => return caller,
                 Ok(Err(error)) => error.to_string(),
