--- a/src/agent/admission/connection_offer.rs
+++ b/src/agent/admission/connection_attempt.rs
@@ -33,9 +33,9 @@
 
 /// An agent's position in the candidate list of a first packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum CandidatePlace {
+pub(crate) enum CandidatePosition {
     /// Another candidate follows this agent.
-    Followed,
+    HasNext,
     /// No candidate follows: this agent must accept or refuse.
     Last,
 }
@@ -55,7 +55,7 @@
 
 impl TargetLoad {
     /// Returns the requests in thousandths of the slots.
-    pub(crate) fn work_permille(self) -> u32 {
+    pub(crate) fn request_load_permille(self) -> u32 {
         self.requests.saturating_mul(1_000) / self.slots.max(1)
     }
 }
@@ -66,16 +66,16 @@
     /// The reported load.
     pub(crate) load: TargetLoad,
     /// When the report arrived.
-    pub(crate) seen: ClockMillis,
+    pub(crate) reported_at: ClockMillis,
 }
 
 /// What the admission decision needs to know about a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct ConnectionOffer {
+pub(crate) struct ConnectionAttempt {
     /// The ID on every first packet of the connection.
     pub(crate) cid: ClientCid,
     /// This agent's position in the candidate list.
-    pub(crate) place: CandidatePlace,
+    pub(crate) position: CandidatePosition,
     /// The next candidate's last load report, if there is one.
-    pub(crate) next: Option<PeerLoad>,
+    pub(crate) next_load: Option<PeerLoad>,
 }
--- a/src/agent/agent_run.rs
+++ b/src/agent/agent_run.rs
@@ -5,9 +5,9 @@
     drain::{DrainEvent, DrainGoal},
 };
 use crate::{
-    admin::{AdminEdge, AdminSource, DrainCommand},
+    admin::{AdminEndpoints, AdminHandlers, DrainCommand},
     event::log_event,
-    program::{StopSignal, start_logs},
+    program::{StopSignal, init_logging},
 };
 
 /// Runs an agent until a stop signal, then drains it.
@@ -16,19 +16,19 @@
 ///
 /// Fails when the agent can't start.
 pub async fn run_agent(settings: AgentSettings) -> Result<(), AgentError> {
-    start_logs(settings.log_format);
+    init_logging(settings.log_format);
     let signal = StopSignal::listen().map_err(AgentError::Signal)?;
     let node = tokio::select! {
         node = AgentNode::start(&settings) => node?,
         () = signal.stopped() => return Ok(()),
     };
     let node = Arc::new(node);
-    let edge = AdminEdge {
+    let endpoints = AdminEndpoints {
         admin_listen: settings.admin_listen,
         metrics_listen: settings.metrics_listen,
         secret_file: settings.secret_file,
     };
-    let _admin = edge.open(admin_source(&node)).await?;
+    let _admin = endpoints.open(admin_handlers(&node)).await?;
     signal.stopped().await;
     node.begin_exit().await;
     node.finish_exit().await;
@@ -36,25 +36,25 @@
     Ok(())
 }
 
-fn admin_source(node: &Arc<AgentNode>) -> AdminSource {
+fn admin_handlers(node: &Arc<AgentNode>) -> AdminHandlers {
     let dump_node = Arc::clone(node);
     let drain_node = Arc::clone(node);
-    let source = AdminSource::new(move || {
+    let handlers = AdminHandlers::new(move || {
         let node = Arc::clone(&dump_node);
         async move { node.dump().await }
     });
-    source.with_drain(move |command| {
+    handlers.with_drain(move |command| {
         let node = Arc::clone(&drain_node);
         async move {
             match command {
-                DrainCommand::Begin(request) => {
+                DrainCommand::Start(request) => {
                     let event = DrainEvent::Begin {
                         goal: DrainGoal::Stay,
                         deadline: request.deadline,
                     };
-                    node.order(event).await
+                    node.send_drain_event(event).await
                 }
-                DrainCommand::Cancel => node.order(DrainEvent::Cancel).await,
+                DrainCommand::Cancel => node.send_drain_event(DrainEvent::Cancel).await,
                 DrainCommand::Report => node.drain_report().await,
             }
         }
--- a/src/agent/agent_settings.rs
+++ b/src/agent/agent_settings.rs
@@ -7,9 +7,9 @@
 
 use crate::{
     clock::SpanMillis,
-    key::DomainName,
+    key::FailureDomain,
     program::LogFormat,
-    settings::{SettingsCheck, SettingsError},
+    settings::{SettingsError, ValidateSettings},
     tls::CertificateFiles,
 };
 
@@ -23,7 +23,7 @@
     /// The agent's name, unique in the deployment.
     pub name: String,
     /// The failure domain of the agent and its upstream.
-    pub domain: DomainName,
+    pub domain: FailureDomain,
     /// The service of the manifest that the upstream belongs to.
     pub service: String,
     /// The HTTP/1.1 address of the upstream.
@@ -44,7 +44,7 @@
     /// The lifetime of a connection ID; connections survive a rotation of the
     /// secret if both epochs stay valid for longer than this.
     #[serde(rename = "connection_id_millis", default = "default_id_lifetime")]
-    pub connection_id_life: SpanMillis,
+    pub connection_id_lifetime: SpanMillis,
     /// The address of the admin calls.
     #[serde(default)]
     pub admin_listen: Option<SocketAddrV4>,
@@ -64,8 +64,8 @@
     SpanMillis::new(600_000)
 }
 
-impl SettingsCheck for AgentSettings {
-    fn check(&self, path: &Path) -> Result<(), SettingsError> {
+impl ValidateSettings for AgentSettings {
+    fn validate(&self, path: &Path) -> Result<(), SettingsError> {
         let out_of_range = |field, value: String, allowed| {
             Err(SettingsError::OutOfRange {
                 path: path.to_owned(),
@@ -100,8 +100,8 @@
                 return out_of_range(field, address.to_string(), allowed);
             }
         }
-        if self.connection_id_life.millis() < MIN_ID_LIFETIME_MILLIS {
-            let value = self.connection_id_life.millis().to_string();
+        if self.connection_id_lifetime.millis() < MIN_ID_LIFETIME_MILLIS {
+            let value = self.connection_id_lifetime.millis().to_string();
             return out_of_range("connection_id_millis", value, "at least 1000");
         }
         Ok(())
--- a/src/agent/endpoint/frame_dispatch.rs
+++ b/src/agent/endpoint/frame_dispatch.rs
@@ -5,7 +5,7 @@
     agent::AgentEvent,
     event::log_event,
     key::TargetKey,
-    route::{ConnectionRoute, PacketHeader, PacketKind, TargetChain},
+    route::{ConnectionRoute, HeaderForm, PacketHeader, TargetChain},
     tunnel::{FrameHeader, FrameKind},
 };
 
@@ -37,7 +37,7 @@
                 None
             }
             FrameKind::Echo => {
-                self.take_echo(source, &header);
+                self.record_echo(source, &header);
                 None
             }
             FrameKind::Peer => {
@@ -137,7 +137,7 @@
         packet: &PacketHeader<'_>,
         datagram: &'a [u8],
     ) -> Option<(FrameHeader, &'a [u8])> {
-        if packet.kind == PacketKind::Short {
+        if packet.form == HeaderForm::Short {
             return Some((header, datagram));
         }
         let next_load = header
@@ -179,9 +179,9 @@
         self.counters.increment(CounterKind::PassedOn);
     }
 
-    fn take_echo(&self, balancer: SocketAddrV4, header: &FrameHeader) {
+    fn record_echo(&self, balancer: SocketAddrV4, header: &FrameHeader) {
         if let Some(number) = header.echo {
-            self.lock_paths().take_echo(balancer, number);
+            self.lock_paths().record_echo(balancer, number);
         }
     }
 
--- a/src/agent/measure/decision_benchmark.rs
+++ b/src/agent/measure/decision_benchmark.rs
@@ -8,7 +8,7 @@
 use crate::{
     agent::{
         admission::{
-            AcceptRule, AdmissionGate, AgentPhase, CandidatePlace, ClientCid, ConnectionOffer,
+            AcceptRule, AdmissionGate, AgentPhase, CandidatePosition, ClientCid, ConnectionAttempt,
             PeerLoad, TargetLoad,
         },
         claim::{AgentIdentity, PeerView, SlotBroker},
@@ -31,7 +31,7 @@
 const REQUEST: SlotRequest = SlotRequest {
     priority: RequestPriority::Normal,
     deadline: ClockMillis::new(u64::MAX),
-    origin: SlotOrigin::Own,
+    origin: SlotOrigin::Local,
 };
 const NOW: ClockMillis = ClockMillis::ORIGIN;
 
@@ -68,14 +68,14 @@
 fn admit_new(rounds: u32) -> DecisionCost {
     let mut gate = AdmissionGate::new(AcceptRule::DEFAULT, AgentPhase::Serving);
     measure("admit_new_connection", rounds, |round| {
-        black_box(gate.admit(offer(round), load(), NOW));
+        black_box(gate.admit(attempt(round), load(), NOW));
     })
 }
 
 fn admit_known(rounds: u32) -> DecisionCost {
     let mut gate = AdmissionGate::new(AcceptRule::DEFAULT, AgentPhase::Serving);
     measure("admit_known_connection", rounds, |_| {
-        black_box(gate.admit(offer(1), load(), NOW));
+        black_box(gate.admit(attempt(1), load(), NOW));
     })
 }
 
@@ -139,15 +139,15 @@
     }
 }
 
-fn offer(number: u32) -> ConnectionOffer {
+fn attempt(number: u32) -> ConnectionAttempt {
     let mut cid = [0; 8];
     cid[..4].copy_from_slice(&number.to_be_bytes());
-    ConnectionOffer {
+    ConnectionAttempt {
         cid: ClientCid::new(&cid).expect("eight bytes are no more than twenty"),
-        place: CandidatePlace::Followed,
-        next: Some(PeerLoad {
+        position: CandidatePosition::HasNext,
+        next_load: Some(PeerLoad {
             load: load(),
-            seen: NOW,
+            reported_at: NOW,
         }),
     }
 }
@@ -164,8 +164,8 @@
 fn peer_view(port: u16) -> PeerView {
     PeerView {
         target: target(port),
-        work_permille: 500,
-        seen: Some(NOW),
+        request_load_permille: 500,
+        reported_at: Some(NOW),
     }
 }
 
--- a/src/agent/node/agent_node.rs
+++ b/src/agent/node/agent_node.rs
@@ -27,11 +27,11 @@
     },
     clock::{ClockMillis, SpanMillis},
     control::{
-        api::{AnnounceReceipt, AnnounceRequest, WatchScope, WatcherName},
+        api::{AnnounceReply, AnnounceRequest, WatchScope, WatcherName},
         client::ControlClient,
     },
     event::log_event,
-    key::{DomainName, IncarnationId, TargetKey},
+    key::{FailureDomain, IncarnationId, TargetKey},
     manifest::{ServiceLimits, ServiceSpec},
     route::TargetPhase,
     secret::SecretStore,
@@ -51,7 +51,7 @@
 pub struct AgentNode {
     name: String,
     service: String,
-    domain: DomainName,
+    domain: FailureDomain,
     socket: Arc<TunnelSocket>,
     endpoint: Endpoint,
     load_gauge: Arc<LoadGauge>,
@@ -87,9 +87,9 @@
             phase_receiver,
             committed,
         );
-        let receipt = renewer.announce().await;
+        let reply = renewer.announce().await;
         let identity = TargetIdentity {
-            service: receipt.service,
+            service: reply.service,
             target: announcement.target,
             incarnation: announcement.incarnation,
         };
@@ -115,7 +115,7 @@
             Arc::clone(&socket),
             secret,
             certificates,
-            settings.connection_id_life,
+            settings.connection_id_lifetime,
         )?;
         let (go_away, go_away_receiver) = watch::channel(0);
         let (exit, exit_receiver) = watch::channel(false);
@@ -151,7 +151,7 @@
         Ok(node
             .with_service_tasks(context)
             .with_peer_tasks(peers, peer_datagrams)
-            .with_control_tasks(renewer, receipt, committed_receiver))
+            .with_control_tasks(renewer, reply, committed_receiver))
     }
 
     /// Starts the tasks that serve callers, and the housekeeping.
@@ -190,7 +190,7 @@
     fn with_control_tasks(
         mut self,
         renewer: LeaseRenewer,
-        receipt: AnnounceReceipt,
+        reply: AnnounceReply,
         committed: watch::Receiver<TargetPhase>,
     ) -> Self {
         let route_watch = RouteWatch::new(
@@ -200,7 +200,7 @@
             WatchScope::Service(self.service.clone()),
             Arc::clone(&self.state),
         );
-        self.tasks.spawn(renewer.run(receipt));
+        self.tasks.spawn(renewer.run(reply));
         self.tasks.spawn(route_watch.run());
         self.tasks
             .spawn(report_commits(committed, self.drain.clone()));
@@ -210,7 +210,7 @@
     /// Sends an event to the drain: begin, cancel or stop now.
     ///
     /// Returns the drain's progress, or `None` once the drain actor is gone.
-    pub(crate) async fn order(&self, event: DrainEvent) -> Option<DrainReport> {
+    pub(crate) async fn send_drain_event(&self, event: DrainEvent) -> Option<DrainReport> {
         self.drain.ask(DrainInput(event)).await.ok()
     }
 
@@ -220,7 +220,7 @@
             goal: DrainGoal::Exit,
             deadline: None,
         };
-        let _ = self.order(event).await;
+        let _ = self.send_drain_event(event).await;
     }
 
     /// Waits for the end of the drain, withdraws the target and closes the endpoint.
@@ -343,7 +343,7 @@
 async fn report_commits(mut committed: watch::Receiver<TargetPhase>, drain: ActorRef<DrainActor>) {
     while committed.changed().await.is_ok() {
         let phase = *committed.borrow_and_update();
-        let event = DrainEvent::Announced(phase);
+        let event = DrainEvent::AnnouncementCommitted(phase);
         if drain.tell(DrainInput(event)).await.is_err() {
             return;
         }
@@ -372,7 +372,7 @@
             self.load_gauge
                 .set_connections(self.endpoint.open_connections());
             self.apply_service();
-            let event = DrainEvent::Counted(self.open_work.read());
+            let event = DrainEvent::OpenWorkCounted(self.open_work.read());
             if self.drain.tell(DrainInput(event)).await.is_err() {
                 return;
             }
--- a/src/agent/relay/coordinator_state.rs
+++ b/src/agent/relay/coordinator_state.rs
@@ -8,8 +8,8 @@
         claim::{AgentIdentity, PeerView, SlotBroker},
         request::CallerDeparture,
         retry::{RetryBudget, RetryCounts},
-        slot::{OpenCount, QueueCounts, SlotLimits, WaiterKey},
-        ticket::{HeirStore, LedgerCounts, LedgerLimits, RunKey, TicketLedger},
+        slot::{OpenLimiter, QueueCounts, SlotLimits, WaiterKey},
+        ticket::{HandoverStore, LedgerCounts, LedgerLimits, RunKey, TicketLedger},
     },
     clock::ClockMillis,
     key::ServiceNumber,
@@ -23,9 +23,9 @@
     pub(super) waiters: SecondaryMap<WaiterKey, oneshot::Sender<WaitOutcome>>,
     pub(super) run_watchers: SecondaryMap<RunKey, oneshot::Sender<CallerDeparture>>,
     pub(super) ledger: TicketLedger,
-    pub(super) handovers: HeirStore,
+    pub(super) handovers: HandoverStore,
     pub(super) budget: RetryBudget,
-    pub(super) streams: OpenCount,
+    pub(super) streams: OpenLimiter,
     pub(super) peers: Vec<PeerView>,
 }
 
@@ -58,9 +58,9 @@
             waiters: SecondaryMap::new(),
             run_watchers: SecondaryMap::new(),
             ledger: TicketLedger::new(own.target, service, own.incarnation, limits),
-            handovers: HeirStore::default(),
+            handovers: HandoverStore::default(),
             budget: RetryBudget::new(spec.retry_percent),
-            streams: OpenCount::new(spec.limits.connections),
+            streams: OpenLimiter::new(spec.limits.connections),
             peers: Vec::new(),
         }
     }
--- a/src/agent/relay/request_coordinator.rs
+++ b/src/agent/relay/request_coordinator.rs
@@ -19,7 +19,7 @@
         endpoint::{LoadGauge, TargetIdentity, TunnelSocket},
         node::OpenWorkGauge,
         request::{RequestAction, RequestEvent, RequestMachine},
-        slot::{CountVerdict, SlotEvent, SlotKey, SlotLimits, SlotRequest, SlotVerdict, WaiterKey},
+        slot::{OpenVerdict, SlotEvent, SlotKey, SlotLimits, SlotRequest, SlotVerdict, WaiterKey},
     },
     clock::{ClockMillis, ProcessClock},
     key::{ServiceNumber, TargetKey},
@@ -239,8 +239,8 @@
     /// Opens a stream; returns `None` at the limit.
     pub(super) fn open_stream(self: &Arc<Self>) -> Option<StreamPermit> {
         match self.lock().streams.open() {
-            CountVerdict::Open => Some(StreamPermit::new(Arc::clone(self))),
-            CountVerdict::Full => None,
+            OpenVerdict::Open => Some(StreamPermit::new(Arc::clone(self))),
+            OpenVerdict::Full => None,
         }
     }
 
@@ -294,8 +294,9 @@
                 let load = self.socket.peer_load(entry.key);
                 PeerView {
                     target: entry.key,
-                    work_permille: load.map_or(0, |report| report.load.work_permille()),
-                    seen: load.map(|report| report.seen),
+                    request_load_permille: load
+                        .map_or(0, |report| report.load.request_load_permille()),
+                    reported_at: load.map(|report| report.reported_at),
                 }
             })
             .collect()
@@ -307,9 +308,9 @@
     fn apply_output(&self, state: &mut CoordinatorState, output: BrokerOutput) {
         let mut pending = vec![output];
         while let Some(output) = pending.pop() {
-            for send in output.sends {
-                let message = PeerMessage::Claim(send.frame);
-                self.socket.send_peer(send.to, &message.encode());
+            for frame in output.frames {
+                let message = PeerMessage::Claim(frame.frame);
+                self.socket.send_peer(frame.to, &message.encode());
             }
             for (waiter, outcome) in wait_outcomes(output.events, output.grants) {
                 let sender = state.waiters.remove(waiter);
--- a/src/agent/relay/request_driver.rs
+++ b/src/agent/relay/request_driver.rs
@@ -239,7 +239,7 @@
 
     async fn forward_answer(&mut self) {
         let Some(answer) = self.answer.take() else {
-            return self.handle(RequestEvent::AnswerBroken).await;
+            return self.handle(RequestEvent::AnswerTruncated).await;
         };
         let mut body = answer.into_body();
         let deadline = self.deadline_mode();
@@ -262,7 +262,7 @@
             }
             Some(Err(error)) => {
                 log_event!(warn, AgentEvent::AnswerCut, %error);
-                self.handle(RequestEvent::AnswerBroken).await;
+                self.handle(RequestEvent::AnswerTruncated).await;
             }
             None => {
                 if let Some(connection) = self.connection.take()
@@ -283,7 +283,7 @@
             return;
         };
         let deadline = self.profile.deadline;
-        let is_timed = self.profile.answer_deadline == AnswerDeadline::Whole;
+        let is_timed = self.profile.answer_deadline == AnswerDeadline::Complete;
         let holds_slot = self.slot_permit.is_some();
         let sent = tokio::select! {
             sent = sink.send_data(data) => sent.is_ok(),
--- a/src/agent/request/tests/single_request.rs
+++ b/src/agent/request/tests/single_request.rs
@@ -30,7 +30,7 @@
         priority: RequestPriority::Normal,
         deadline: ClockMillis::new(1_000_000),
         idempotent,
-        answer_deadline: AnswerDeadline::Whole,
+        answer_deadline: AnswerDeadline::Complete,
         kind: RequestKind::Slotted,
         ticketed,
         replayable: true,
@@ -59,7 +59,7 @@
         1 => Just(TestEvent::Event(RequestEvent::GrantLost)),
         2 => Just(TestEvent::Event(RequestEvent::AnswerHead)),
         2 => Just(TestEvent::Event(RequestEvent::AnswerEnd)),
-        1 => Just(TestEvent::Event(RequestEvent::AnswerBroken)),
+        1 => Just(TestEvent::Event(RequestEvent::AnswerTruncated)),
         1 => Just(TestEvent::Event(RequestEvent::CallerLeft(CallerDeparture::Cancelled))),
         1 => Just(TestEvent::Event(RequestEvent::CallerLeft(CallerDeparture::Lost))),
         1 => Just(TestEvent::Event(RequestEvent::Deadline)),
@@ -131,7 +131,7 @@
                 record.sends_not_run += 1;
             }
             let mut actions = machine.handle(event, &mut budget, ClockMillis::ORIGIN);
-            if actions.contains(&RequestAction::OpenElsewhere) {
+            if actions.contains(&RequestAction::RetryElsewhere) {
                 actions.extend(machine.start_at(RunPlace::Peer(peer())));
             }
             record.apply(&actions);
@@ -156,13 +156,17 @@
     for event in [RequestEvent::Connected, RequestEvent::AnswerHead] {
         machine.handle(event, &mut budget, ClockMillis::ORIGIN);
     }
-    let actions = machine.handle(RequestEvent::AnswerBroken, &mut budget, ClockMillis::ORIGIN);
+    let actions = machine.handle(
+        RequestEvent::AnswerTruncated,
+        &mut budget,
+        ClockMillis::ORIGIN,
+    );
     assert_eq!(actions, [RequestAction::ResetAnswer]);
 }
 
 #[test]
 fn a_lost_caller_does_not_stop_a_ticketed_run_but_a_cancellation_does() {
-    for (departure, drops_attempt) in [
+    for (departure, cancels_attempt) in [
         (CallerDeparture::Lost, false),
         (CallerDeparture::OthersWait, false),
         (CallerDeparture::Cancelled, true),
@@ -173,15 +177,18 @@
         machine.handle(RequestEvent::Connected, &mut budget, ClockMillis::ORIGIN);
         let event = RequestEvent::CallerLeft(departure);
         let actions = machine.handle(event, &mut budget, ClockMillis::ORIGIN);
-        assert_eq!(actions.contains(&RequestAction::DropAttempt), drops_attempt);
+        assert_eq!(
+            actions.contains(&RequestAction::CancelAttempt),
+            cancels_attempt
+        );
     }
 }
 
 #[test]
 fn only_an_explicit_deadline_resets_an_answer_in_progress() {
     for (answer_deadline, resets_answer) in [
-        (AnswerDeadline::Whole, true),
-        (AnswerDeadline::Begun, false),
+        (AnswerDeadline::Complete, true),
+        (AnswerDeadline::Started, false),
     ] {
         let mut budget = RetryBudget::new(10);
         let mut machine = RequestMachine::new(RequestProfile {
--- a/src/agent/slot/slot_queue.rs
+++ b/src/agent/slot/slot_queue.rs
@@ -123,7 +123,7 @@
     pub(crate) fn counts(&self) -> QueueCounts {
         QueueCounts {
             running: u16::try_from(self.running.len()).unwrap_or(u16::MAX),
-            waiting: u16::try_from(self.waiting.len(SlotOrigin::Own)).unwrap_or(u16::MAX),
+            waiting: u16::try_from(self.waiting.len(SlotOrigin::Local)).unwrap_or(u16::MAX),
             slots: self.limits.slots,
         }
     }
@@ -137,7 +137,7 @@
     /// Returns the waiting request to displace in favour of `request`.
     fn find_displaced(&self, request: SlotRequest) -> Option<WaiterKey> {
         match request.origin {
-            SlotOrigin::Own => self.waiting.last_own_below(request.priority),
+            SlotOrigin::Local => self.waiting.last_own_below(request.priority),
             SlotOrigin::Peer => None,
         }
     }
@@ -187,7 +187,7 @@
             .filter(|other| *other <= priority)
             .map(|other| {
                 let count = self.waiting.own_len(other) as u64;
-                self.service_time.mean(other).times(count).millis()
+                self.service_time.mean(other).saturating_mul(count).millis()
             })
             .sum();
         let running: u64 = self
--- a/src/balancer/balancer_run.rs
+++ b/src/balancer/balancer_run.rs
@@ -2,9 +2,9 @@
 
 use super::{BalancerError, BalancerEvent, BalancerNode, BalancerSettings};
 use crate::{
-    admin::{AdminEdge, AdminSource},
+    admin::{AdminEndpoints, AdminHandlers},
     event::log_event,
-    program::{StopSignal, start_logs},
+    program::{StopSignal, init_logging},
 };
 
 /// Runs a balancer until the process receives a stop signal, then shuts it down
@@ -14,24 +14,24 @@
 ///
 /// Fails when the balancer, its signal handlers or its admin servers can't start.
 pub async fn run_balancer(settings: BalancerSettings) -> Result<(), BalancerError> {
-    start_logs(settings.log_format);
+    init_logging(settings.log_format);
     let signal = StopSignal::listen().map_err(BalancerError::Signal)?;
     let node = Arc::new(BalancerNode::start(&settings)?);
-    let edge = AdminEdge {
+    let endpoints = AdminEndpoints {
         admin_listen: settings.admin_listen,
         metrics_listen: settings.metrics_listen,
         secret_file: settings.secret_file,
     };
-    let _admin = edge.open(admin_source(&node)).await?;
+    let _admin = endpoints.open(admin_handlers(&node)).await?;
     signal.stopped().await;
     node.leave().await;
     log_event!(info, BalancerEvent::Stopped);
     Ok(())
 }
 
-fn admin_source(node: &Arc<BalancerNode>) -> AdminSource {
+fn admin_handlers(node: &Arc<BalancerNode>) -> AdminHandlers {
     let node = Arc::clone(node);
-    AdminSource::new(move || {
+    AdminHandlers::new(move || {
         let node = Arc::clone(&node);
         async move { node.dump() }
     })
--- a/src/balancer/balancer_settings.rs
+++ b/src/balancer/balancer_settings.rs
@@ -6,9 +6,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    key::DomainName,
+    key::FailureDomain,
     program::LogFormat,
-    settings::{SettingsCheck, SettingsError},
+    settings::{SettingsError, ValidateSettings},
 };
 
 /// Maximum number of source ports of the tunnel.
@@ -21,7 +21,7 @@
     /// The balancer's name, unique in the deployment.
     pub name: String,
     /// The region and failure domain that the balancer runs in.
-    pub domain: DomainName,
+    pub domain: FailureDomain,
     /// The local address that receives callers' datagrams for every service port.
     ///
     /// If it is set, only the port identifies the service. If not, the balancer
@@ -52,8 +52,8 @@
     2
 }
 
-impl SettingsCheck for BalancerSettings {
-    fn check(&self, path: &Path) -> Result<(), SettingsError> {
+impl ValidateSettings for BalancerSettings {
+    fn validate(&self, path: &Path) -> Result<(), SettingsError> {
         let out_of_range = |field, value: String, allowed| {
             Err(SettingsError::OutOfRange {
                 path: path.to_owned(),
--- a/src/balancer/tests/datagram_verdicts.rs
+++ b/src/balancer/tests/datagram_verdicts.rs
@@ -7,7 +7,7 @@
 use crate::{
     balancer::{DropCause, ForwardVerdict, decide_datagram},
     clock::SpanMillis,
-    key::{DomainName, FeedRevision, IncarnationId, ServiceNumber, TargetKey},
+    key::{FailureDomain, FeedRevision, IncarnationId, ServiceNumber, TargetKey},
     manifest::{ServiceLimits, ServiceSpec},
     route::{
         ConnectionRoute, RouteChange, RouteDelta, RouteSnapshot, RouteTable, ServiceRoute,
@@ -46,7 +46,7 @@
         key: TargetKey::new(key),
         service: ServiceNumber::new(u16::from(service)),
         incarnation: IncarnationId::new(u64::from(index)),
-        domain: DomainName::new(
+        domain: FailureDomain::new(
             "vestland",
             if index.is_multiple_of(2) {
                 "sund"
@@ -68,7 +68,7 @@
         targets: vec![target(1, 1), target(1, 2), target(2, 1)],
         manifest_version: 1,
     };
-    table.replace(snapshot).expect("initial snapshot");
+    table.apply_snapshot(snapshot).expect("initial snapshot");
     table
 }
 
@@ -110,7 +110,7 @@
         expected
     );
     let removal_delta = RouteDelta {
-        after: FeedRevision::new(1),
+        base_revision: FeedRevision::new(1),
         revision: FeedRevision::new(2),
         changes: vec![
             RouteChange::TargetRemoved(target(1, 1).key),
@@ -118,7 +118,7 @@
         ],
         manifest_version: 1,
     };
-    table.update(&removal_delta).expect("the next delta");
+    table.apply_delta(&removal_delta).expect("the next delta");
     assert_eq!(
         decide_datagram(&table, &keys, address(1), &datagram),
         expected
--- a/src/caller/call_answer.rs
+++ b/src/caller/call_response.rs
@@ -5,7 +5,7 @@
 
 /// A complete response.
 #[derive(Debug, Clone)]
-pub struct CallAnswer {
+pub struct CallResponse {
     /// The HTTP status.
     pub status: u16,
     /// The response headers.
@@ -14,7 +14,7 @@
     pub body: Bytes,
 }
 
-impl CallAnswer {
+impl CallResponse {
     /// Returns whether the status is 2xx.
     #[must_use]
     pub fn is_success(&self) -> bool {
@@ -30,7 +30,7 @@
     /// Returns whether the response is a refusal which states that the request did
     /// not run and never will.
     #[must_use]
-    pub fn is_refused_unrun(&self) -> bool {
+    pub fn is_not_run(&self) -> bool {
         let problem: Result<ProblemDocument, _> = serde_json::from_slice(&self.body);
         !self.is_success() && problem.is_ok_and(|problem| problem.not_run)
     }
--- a/src/cli/command/call_command.rs
+++ b/src/cli/command/call_command.rs
@@ -4,10 +4,10 @@
 use serde::Serialize;
 
 use crate::{
-    caller::{CallAnswer, CallRequest, CallerError, ServiceCaller},
+    caller::{CallRequest, CallResponse, CallerError, ServiceCaller},
     cli::{CliError, OutputFormat, UsageError},
     program::ExitStatus,
-    tls::ServerTrust,
+    tls::TrustedRoots,
 };
 
 /// The options of `cyclamen call`.
@@ -76,13 +76,13 @@
         let report = CallReport::new(&response);
         OutputFormat::from_flag(self.json).print(&report);
         Ok(if response.is_success() {
-            ExitStatus::Done
+            ExitStatus::Success
         } else {
             ExitStatus::Failed
         })
     }
 
-    async fn send(&self, request: CallRequest) -> Result<CallAnswer, CliError> {
+    async fn send(&self, request: CallRequest) -> Result<CallResponse, CliError> {
         let address = self.service_address.ok_or(UsageError::Missing {
             name: "--service-address",
         })?;
@@ -90,8 +90,8 @@
         let name = name.ok_or(UsageError::Missing { name: "--name" })?;
         let ca = self.ca.as_ref();
         let ca = ca.ok_or(UsageError::Missing { name: "--ca" })?;
-        let caller = ServiceCaller::connect(address, name, ServerTrust::load(ca)?).await?;
-        let response: Result<CallAnswer, CallerError> = caller.send(request).await;
+        let caller = ServiceCaller::connect(address, name, TrustedRoots::load(ca)?).await?;
+        let response: Result<CallResponse, CallerError> = caller.send(request).await;
         caller.close().await;
         Ok(response?)
     }
@@ -120,7 +120,7 @@
 }
 
 impl CallReport {
-    fn new(response: &CallAnswer) -> Self {
+    fn new(response: &CallResponse) -> Self {
         let headers = response
             .headers
             .iter()
--- a/src/control/client/control_client.rs
+++ b/src/control/client/control_client.rs
@@ -10,14 +10,14 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 use super::{
-    ControlClientError, FailoverPlan, FailoverStep, LinkFault, ReplicaClient,
+    ControlClientError, FailoverPlan, FailoverStep, ReplicaCallError, ReplicaClient,
     replica_client::EncodedCall,
 };
 use crate::{
     clock::{ProcessClock, SpanMillis},
     control::api::{
-        AnnounceReceipt, AnnounceRequest, ApplyReceipt, ApplyRequest, CallName, ControlDump,
-        ControlStatus, FeedReply, HeartbeatReceipt, HeartbeatRequest, StatusRequest, WatchRequest,
+        AnnounceReply, AnnounceRequest, ApplyReply, ApplyRequest, CallName, ControlDump,
+        ControlStatus, FeedReply, HeartbeatReply, HeartbeatRequest, StatusRequest, WatchRequest,
         WithdrawRequest,
     },
     key::FeedRevision,
@@ -104,7 +104,7 @@
     pub async fn announce(
         &self,
         request: &AnnounceRequest,
-    ) -> Result<AnnounceReceipt, ControlClientError> {
+    ) -> Result<AnnounceReply, ControlClientError> {
         self.call_leader(CallName::Announce, request).await
     }
 
@@ -128,7 +128,7 @@
     pub async fn heartbeat(
         &self,
         request: &HeartbeatRequest,
-    ) -> Result<HeartbeatReceipt, ControlClientError> {
+    ) -> Result<HeartbeatReply, ControlClientError> {
         self.call_leader(CallName::Heartbeat, request).await
     }
 
@@ -138,7 +138,7 @@
     ///
     /// Fails when the group refuses, is unreachable, or its reply is lost;
     /// after a lost reply the same manifest can be submitted again.
-    pub async fn apply(&self, request: &ApplyRequest) -> Result<ApplyReceipt, ControlClientError> {
+    pub async fn apply(&self, request: &ApplyRequest) -> Result<ApplyReply, ControlClientError> {
         let timeouts = CallTimeouts {
             attempt: APPLY_ATTEMPT_TIMEOUT_MILLIS,
             total: APPLY_TIMEOUT_MILLIS,
@@ -188,7 +188,10 @@
     /// # Errors
     ///
     /// Fails when this replica does not answer or is not current.
-    pub async fn status_at(&self, address: SocketAddrV4) -> Result<ControlStatus, LinkFault> {
+    pub async fn status_at(
+        &self,
+        address: SocketAddrV4,
+    ) -> Result<ControlStatus, ReplicaCallError> {
         self.call_replica(address, CallName::Status).await
     }
 
@@ -197,7 +200,7 @@
     /// # Errors
     ///
     /// Fails when this replica does not answer.
-    pub async fn dump_at(&self, address: SocketAddrV4) -> Result<ControlDump, LinkFault> {
+    pub async fn dump_at(&self, address: SocketAddrV4) -> Result<ControlDump, ReplicaCallError> {
         self.call_replica(address, CallName::Dump).await
     }
 
@@ -205,7 +208,7 @@
         &self,
         address: SocketAddrV4,
         name: CallName,
-    ) -> Result<R, LinkFault> {
+    ) -> Result<R, ReplicaCallError> {
         let call = EncodedCall::new(name, &StatusRequest {})?;
         self.attempt(address, &call, ATTEMPT_TIMEOUT_MILLIS).await
     }
@@ -229,7 +232,7 @@
         let unreachable = |last| ControlClientError::Unreachable { attempts: 0, last };
         let call = EncodedCall::new(name, request).map_err(unreachable)?;
         if self.shared.addresses.is_empty() {
-            return Err(unreachable(LinkFault::NoConnection));
+            return Err(unreachable(ReplicaCallError::NoConnection));
         }
         let deadline = self.shared.clock.now().after(timeouts.total);
         let start_index = self.start_index(choice).load(Ordering::Relaxed);
@@ -241,18 +244,18 @@
         loop {
             let remaining = deadline.since(self.shared.clock.now());
             let attempt_timeout = timeouts.attempt.min(remaining);
-            let fault = match self.attempt(address, &call, attempt_timeout).await {
+            let error = match self.attempt(address, &call, attempt_timeout).await {
                 Ok(reply) => {
                     self.record_success(choice, address);
                     return Ok(reply);
                 }
-                Err(fault) => fault,
+                Err(error) => error,
             };
             if choice == ReplicaChoice::Leader {
                 self.forget_leader(address);
             }
             let now = self.shared.clock.now();
-            let step = plan.record_fault(fault, now, &mut rand::rng());
+            let step = plan.record_error(error, now, &mut rand::rng());
             match step {
                 FailoverStep::Retry {
                     address: next,
@@ -273,17 +276,17 @@
         address: SocketAddrV4,
         call: &EncodedCall,
         attempt_timeout: SpanMillis,
-    ) -> Result<R, LinkFault> {
+    ) -> Result<R, ReplicaCallError> {
         let client = self.client(address)?;
         let reply = client.call(call, attempt_timeout).await;
-        if matches!(reply, Err(LinkFault::NoAnswer)) {
+        if matches!(reply, Err(ReplicaCallError::NoAnswer)) {
             // The idle connections to this replica may be dead as well.
             self.discard_client(address, &client);
         }
         reply
     }
 
-    fn client(&self, address: SocketAddrV4) -> Result<Arc<ReplicaClient>, LinkFault> {
+    fn client(&self, address: SocketAddrV4) -> Result<Arc<ReplicaClient>, ReplicaCallError> {
         let mut clients = lock(&self.shared.clients);
         if let Some(client) = clients.get(&address) {
             return Ok(Arc::clone(client));
--- a/src/control/client/tests/unavailable.rs
+++ b/src/control/client/tests/unavailable.rs
@@ -5,8 +5,8 @@
 use tokio::net::TcpListener;
 
 use crate::control::{
-    api::{HeartbeatReceipt, HeartbeatRequest, StatusRequest},
-    client::{ControlClient, ControlClientError, LinkFault},
+    api::{HeartbeatReply, HeartbeatRequest, StatusRequest},
+    client::{ControlClient, ControlClientError, ReplicaCallError},
     server::tests::fixture::{TestReplica, announcement, test_secret},
 };
 
@@ -36,7 +36,7 @@
     let addresses = vec![unresponsive, replica.address];
     let client = ControlClient::new(addresses, replica.secret.clone());
     let answer = client.heartbeat(&heartbeat()).await;
-    assert_eq!(answer, Ok(HeartbeatReceipt::Unknown));
+    assert_eq!(answer, Ok(HeartbeatReply::Unknown));
     // The second call starts at the replica that answered.
     assert_eq!(client.known_leader(), Some(replica.address));
 }
@@ -57,11 +57,11 @@
     let (listener, closed) = unresponsive_replica().await;
     drop(listener);
     let client = ControlClient::new(vec![closed], test_secret(7));
-    let last = LinkFault::NoConnection;
+    let last = ReplicaCallError::NoConnection;
     assert_eq!(client.status_at(closed).await, Err(last.clone()));
     let call = client.status().await;
     assert!(
-        matches!(&call, Err(ControlClientError::Unreachable { last: fault, .. }) if *fault == last)
+        matches!(&call, Err(ControlClientError::Unreachable { last: error, .. }) if *error == last)
     );
 }
 
@@ -70,7 +70,7 @@
     let replica = TestReplica::start();
     let client = ControlClient::new(vec![replica.address], test_secret(8));
     let refused = client.status_at(replica.address).await;
-    assert_eq!(refused, Err(LinkFault::ProofRefused));
+    assert_eq!(refused, Err(ReplicaCallError::ProofRefused));
 }
 
 #[test]
--- a/src/control/control_run.rs
+++ b/src/control/control_run.rs
@@ -7,14 +7,14 @@
 
 use super::{
     ControlEvent, ControlSettings,
-    feed::ReplicaState,
+    feed::FeedState,
     replica_shell::{ReplicaShellError, ReplicatedState, start_replica},
     server::{ControlServer, ControlService, ServerError, write_listening},
     store::{ControlStore, StateHandle},
 };
 use crate::{
     event::log_event,
-    program::start_logs,
+    program::init_logging,
     secret::{SecretError, SecretStore},
 };
 
@@ -50,7 +50,7 @@
 ///
 /// Fails when the replica can't start, or when its log fails.
 pub async fn run_control(settings: ControlSettings) -> Result<(), ControlError> {
-    start_logs(settings.log_format);
+    init_logging(settings.log_format);
     let mut terminate = signal(SignalKind::terminate()).map_err(ControlError::Signals)?;
     if let Some(address) = settings.metrics_listen {
         PrometheusBuilder::new()
@@ -60,7 +60,7 @@
     let options = settings.replica_options();
     let secret = SecretStore::open(settings.secret_file)?;
     let (listener, address) = ControlServer::bind(settings.listen)?;
-    let state = StateHandle::new(ReplicaState::new());
+    let state = StateHandle::new(FeedState::new());
     let replica = start_replica(
         options,
         ReplicatedState::Registry(state.clone()),
@@ -78,7 +78,7 @@
         ended = replica.task => Some(ended.unwrap_or(ReplicaShellError::Ended)),
     };
     if failure.is_none() {
-        replica.handle.step_aside().await;
+        replica.handle.transfer_leadership().await;
     }
     server.stop().await;
     if let Some(error) = failure {
--- a/src/control/control_settings.rs
+++ b/src/control/control_settings.rs
@@ -12,9 +12,9 @@
     replica_shell::{DiskFaultPolicy, PeerAddress, ReplicaOptions},
 };
 use crate::{
-    key::DomainName,
+    key::FailureDomain,
     program::LogFormat,
-    settings::{SettingsCheck, SettingsError},
+    settings::{SettingsError, ValidateSettings},
 };
 
 /// The folder of the replicated log, within the data folder.
@@ -29,7 +29,7 @@
     /// The replica's name.
     pub name: String,
     /// The region and failure domain that the replica runs in.
-    pub domain: DomainName,
+    pub domain: FailureDomain,
     /// The address on which the replica serves calls; port 0 selects a free port.
     pub listen: SocketAddrV4,
     /// This replica's number, unique in the group.
@@ -62,8 +62,8 @@
     pub(crate) fn replica_options(&self) -> ReplicaOptions {
         let peers = self.peers.iter().map(|peer| PeerAddress {
             replica: ReplicaId::new(peer.replica.into()),
-            link: peer.link,
-            calls: peer.calls,
+            link_address: peer.link_address,
+            call_address: peer.call_address,
         });
         ReplicaOptions {
             own: ReplicaId::new(self.replica.into()),
@@ -72,7 +72,7 @@
             ports: None,
             folder: self.data_folder.join(LOG_FOLDER),
             admission: GroupAdmission::Listed,
-            disk_faults: DiskFaultPolicy::Stop,
+            disk_fault_policy: DiskFaultPolicy::Stop,
         }
     }
 
@@ -86,8 +86,8 @@
     }
 }
 
-impl SettingsCheck for ControlSettings {
-    fn check(&self, path: &Path) -> Result<(), SettingsError> {
+impl ValidateSettings for ControlSettings {
+    fn validate(&self, path: &Path) -> Result<(), SettingsError> {
         if self.name.is_empty() {
             return Err(SettingsError::OutOfRange {
                 path: path.to_owned(),
--- a/src/control/feed/watcher_table.rs
+++ b/src/control/feed/watcher_table.rs
@@ -4,7 +4,7 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     control::api::{CallRefusal, WatcherName, WatcherStatus},
-    key::{DomainName, FeedRevision},
+    key::{FailureDomain, FeedRevision},
 };
 
 /// The maximum number of watchers.
@@ -17,7 +17,7 @@
 /// The state of one watcher.
 #[derive(Debug)]
 struct WatcherRecord {
-    domain: DomainName,
+    domain: FailureDomain,
     in_force: FeedRevision,
     last_call_at: ClockMillis,
     budget: WatcherBudget,
@@ -58,10 +58,10 @@
     /// # Errors
     ///
     /// Refuses a new watcher when the table is full.
-    pub(crate) fn hear(
+    pub(crate) fn record_call(
         &mut self,
         name: &WatcherName,
-        domain: &DomainName,
+        domain: &FailureDomain,
         in_force: FeedRevision,
         now: ClockMillis,
     ) -> Result<(), CallRefusal> {
@@ -92,10 +92,10 @@
     }
 
     /// Returns how long the next reply to a watcher must wait for its budget.
-    pub(crate) fn pause(&mut self, name: &WatcherName, now: ClockMillis) -> SpanMillis {
+    pub(crate) fn reply_delay(&mut self, name: &WatcherName, now: ClockMillis) -> SpanMillis {
         self.records
             .get_mut(name)
-            .map_or(SpanMillis::ZERO, |record| record.budget.pause(now))
+            .map_or(SpanMillis::ZERO, |record| record.budget.reply_delay(now))
     }
 
     /// Charges a reply to the budget of a watcher.
--- a/src/control/replica_shell/replica_handle.rs
+++ b/src/control/replica_shell/replica_handle.rs
@@ -11,7 +11,7 @@
     control::{
         api::{CallRefusal, ReplicaRole, ReplicaStatus},
         replica::{EntryPayload, MAX_ENTRY_BYTES, ReplicaId, ReplicaView, VotingStatus},
-        store::LeadView,
+        store::LeaderView,
     },
     key::FeedRevision,
 };
@@ -109,12 +109,13 @@
 
     /// Transfers leadership before this replica stops, if another one can take it in
     /// time.
-    pub(crate) async fn step_aside(&self) {
+    pub(crate) async fn transfer_leadership(&self) {
         if self.call_addresses.is_empty() {
             return;
         }
         let deadline = Instant::now() + TRANSFER_TIMEOUT_MILLIS.duration();
-        while matches!(self.lead(), LeadView::Leading { .. }) && Instant::now() < deadline {
+        while matches!(self.leader_view(), LeaderView::Leading { .. }) && Instant::now() < deadline
+        {
             // A driver that has ended no longer leads.
             let _ = self.commands.try_send(ReplicaCommand::TransferLeadership);
             sleep(TRANSFER_RETRY_MILLIS.duration()).await;
@@ -122,7 +123,7 @@
     }
 
     /// Sets the replicas to ask for admission while this replica is no voter.
-    pub(crate) fn meet_peers(&self, replicas: Vec<ReplicaId>) {
+    pub(crate) fn update_peers(&self, replicas: Vec<ReplicaId>) {
         // If the queue is full, a later update replaces this one.
         let _ = self
             .commands
@@ -135,13 +136,13 @@
     }
 
     /// Returns whether this replica leads, or else the known leader's call address.
-    pub(crate) fn lead(&self) -> LeadView {
+    pub(crate) fn leader_view(&self) -> LeaderView {
         let view = self.view.borrow();
         match view.role {
-            ReplicaRole::Leader => LeadView::Leading {
+            ReplicaRole::Leader => LeaderView::Leading {
                 term: view.term.number(),
             },
-            ReplicaRole::Follower | ReplicaRole::Learner => LeadView::Following {
+            ReplicaRole::Follower | ReplicaRole::Learner => LeaderView::Following {
                 leader: view
                     .leader
                     .and_then(|member_id| self.call_address(member_id.replica)),
@@ -156,10 +157,10 @@
         let members = view.members.iter();
         members
             .filter_map(|member| {
-                let replica = member.seat.replica;
-                let is_own = replica == view.seat.replica;
+                let replica = member.id.replica;
+                let is_own = replica == view.member_id.replica;
                 let role = match member.voting_status {
-                    _ if leader == Some(member.seat.disk) => ReplicaRole::Leader,
+                    _ if leader == Some(member.id.disk) => ReplicaRole::Leader,
                     VotingStatus::Voter => ReplicaRole::Follower,
                     VotingStatus::Learner => ReplicaRole::Learner,
                 };
@@ -170,7 +171,7 @@
                         self.call_address(replica)?
                     },
                     role,
-                    held: member.match_index.number(),
+                    durable_index: member.match_index.number(),
                 })
             })
             .collect()
@@ -179,7 +180,7 @@
     /// Returns the call address of a replica.
     pub(super) fn call_address(&self, replica: ReplicaId) -> Option<SocketAddrV4> {
         let listed = self.call_addresses.get(&replica).copied();
-        let discovered = |ports: PeerPorts| SocketAddrV4::new(replica.address(), ports.calls);
+        let discovered = |ports: PeerPorts| SocketAddrV4::new(replica.address(), ports.call_port);
         listed.or_else(|| self.ports.map(discovered))
     }
 }
--- a/src/control/server/control_service.rs
+++ b/src/control/server/control_service.rs
@@ -10,13 +10,13 @@
     clock::ProcessClock,
     control::{
         api::{
-            AnnounceReceipt, AnnounceRequest, ApplyReceipt, ApplyRequest, CallRefusal, ControlDump,
-            ControlStatus, DumpedService, HeartbeatReceipt, HeartbeatRequest, WithdrawRequest,
+            AnnounceReply, AnnounceRequest, ApplyReply, ApplyRequest, CallRefusal, ControlDump,
+            ControlStatus, DumpedService, HeartbeatReply, HeartbeatRequest, WithdrawRequest,
         },
         feed::WatcherTable,
-        lease::{CountLeases, LEASE_MILLIS, LeaseKeeper, RenewLease},
+        lease::{CountLeases, LEASE_MILLIS, LeaseManager, RenewLease},
         state::{ControlCommand, ControlOutcome, ControlState},
-        store::{ControlStore, LeadView, ReadConfirmer, StateHandle},
+        store::{ControlStore, LeaderView, ReadConfirmer, StateHandle},
     },
     key::FeedRevision,
     manifest::check_manifest,
@@ -34,7 +34,7 @@
     pub(super) state: StateHandle,
     pub(super) store: ControlStore,
     pub(super) confirmer: ReadConfirmer,
-    pub(super) leases: ActorRef<LeaseKeeper>,
+    pub(super) leases: ActorRef<LeaseManager>,
     pub(super) limiter: CallLimiter,
     pub(super) clock: ProcessClock,
     watchers: Mutex<WatcherTable>,
@@ -49,12 +49,12 @@
         store: ControlStore,
     ) -> Self {
         let clock = ProcessClock::new();
-        let keeper = LeaseKeeper::new(state.clone(), clock);
+        let manager = LeaseManager::new(state.clone(), clock);
         Self {
             name,
             address,
             confirmer: ReadConfirmer::start(store.clone()),
-            leases: kameo::Actor::spawn(keeper),
+            leases: kameo::Actor::spawn(manager),
             state,
             store,
             limiter: CallLimiter::new(),
@@ -74,10 +74,10 @@
     pub(crate) async fn announce(
         &self,
         request: AnnounceRequest,
-    ) -> Result<AnnounceReceipt, CallRefusal> {
+    ) -> Result<AnnounceReply, CallRefusal> {
         check_announce(&request)?;
         match self.propose(ControlCommand::Announce(request)).await? {
-            ControlOutcome::Announced { service, revision } => Ok(AnnounceReceipt {
+            ControlOutcome::Announced { service, revision } => Ok(AnnounceReply {
                 service,
                 lease: LEASE_MILLIS,
                 revision,
@@ -101,8 +101,8 @@
     pub(crate) async fn heartbeat(
         &self,
         request: HeartbeatRequest,
-    ) -> Result<HeartbeatReceipt, CallRefusal> {
-        if let LeadView::Following { leader } = self.store.lead() {
+    ) -> Result<HeartbeatReply, CallRefusal> {
+        if let LeaderView::Following { leader } = self.store.leader_view() {
             return Err(CallRefusal::NotLeader { leader });
         }
         let renewal = RenewLease {
@@ -111,14 +111,14 @@
         };
         let renewed = self.leases.ask(renewal).await;
         if renewed.map_err(|_| CallRefusal::NoQuorum)? {
-            Ok(HeartbeatReceipt::Renewed { span: LEASE_MILLIS })
+            Ok(HeartbeatReply::Renewed { span: LEASE_MILLIS })
         } else {
-            Ok(HeartbeatReceipt::Unknown)
+            Ok(HeartbeatReply::Unknown)
         }
     }
 
     /// Puts a manifest in force.
-    pub(crate) async fn apply(&self, request: ApplyRequest) -> Result<ApplyReceipt, CallRefusal> {
+    pub(crate) async fn apply(&self, request: ApplyRequest) -> Result<ApplyReply, CallRefusal> {
         check_manifest(&request.manifest).map_err(|faults| CallRefusal::InvalidManifest {
             faults: faults.iter().map(ToString::to_string).collect(),
         })?;
@@ -126,7 +126,7 @@
             .propose(ControlCommand::Apply(request.manifest))
             .await?
         {
-            ControlOutcome::Applied(receipt) => Ok(receipt),
+            ControlOutcome::Applied(reply) => Ok(reply),
             outcome => Err(refusal_from(outcome)),
         }
     }
@@ -145,7 +145,7 @@
             name: self.name.clone(),
             status,
             history_floor: replica.history().floor(),
-            history_changes: replica.history().held(),
+            history_changes: replica.history().change_count(),
             leases: count.leases,
             lease_holds: count.holds,
             services: dump_services(replica.state()),
@@ -165,7 +165,7 @@
     }
 
     async fn propose(&self, command: ControlCommand) -> Result<ControlOutcome, CallRefusal> {
-        if let LeadView::Following { leader } = self.store.lead() {
+        if let LeaderView::Following { leader } = self.store.leader_view() {
             return Err(CallRefusal::NotLeader { leader });
         }
         self.store.propose(&command).await
--- a/src/control/server/lease_driver.rs
+++ b/src/control/server/lease_driver.rs
@@ -8,9 +8,9 @@
     clock::SpanMillis,
     control::{
         ControlEvent,
-        lease::{DecideLeases, HoldReport, ResignLeases, TakeLeases},
+        lease::{DecideExpiries, DropAllLeases, GrantAllLeases, HoldReport},
         state::ControlCommand,
-        store::LeadView,
+        store::LeaderView,
     },
     event::log_event,
     key::{IncarnationId, TargetKey},
@@ -28,28 +28,28 @@
     let mut leading_term = None;
     loop {
         tick.tick().await;
-        match (service.store.lead(), leading_term) {
-            (LeadView::Leading { term }, Some(current)) if term == current => {
+        match (service.store.leader_view(), leading_term) {
+            (LeaderView::Leading { term }, Some(current)) if term == current => {
                 expire_leases(&service).await;
             }
-            (LeadView::Leading { term }, _) => {
-                // The keeper stops only together with the replica, so an error is ignored.
-                let _ = service.leases.ask(TakeLeases).await;
+            (LeaderView::Leading { term }, _) => {
+                // The manager stops only together with the replica, so an error is ignored.
+                let _ = service.leases.ask(GrantAllLeases).await;
                 log_event!(info, ControlEvent::LeasesTaken, term);
                 leading_term = Some(term);
             }
-            (LeadView::Following { .. }, Some(_)) => {
-                let _ = service.leases.ask(ResignLeases).await;
+            (LeaderView::Following { .. }, Some(_)) => {
+                let _ = service.leases.ask(DropAllLeases).await;
                 log_event!(info, ControlEvent::LeasesResigned);
                 leading_term = None;
             }
-            (LeadView::Following { .. }, None) => {}
+            (LeaderView::Following { .. }, None) => {}
         }
     }
 }
 
 async fn expire_leases(service: &ControlService) {
-    let Ok(verdict) = service.leases.ask(DecideLeases).await else {
+    let Ok(verdict) = service.leases.ask(DecideExpiries).await else {
         return;
     };
     for report in &verdict.held {
--- a/src/demo/demo_site.rs
+++ b/src/demo/demo_site.rs
@@ -16,16 +16,16 @@
     balancer::{BalancerNode, BalancerSettings},
     clock::SpanMillis,
     control::{ControlSettings, PeerSettings, client::ControlClient, run_control},
-    key::DomainName,
+    key::FailureDomain,
     manifest::Manifest,
     program::LogFormat,
     secret::{DeploymentSecret, SecretStore},
-    settings::write_private,
-    tls::{CertificateFiles, ServerTrust, TestCertificate},
+    settings::write_private_file,
+    tls::{CertificateFiles, TestCertificate, TrustedRoots},
 };
 
 /// How long connection IDs stay in use.
-const CONNECTION_ID_LIFE: SpanMillis = SpanMillis::new(600_000);
+const CONNECTION_ID_LIFETIME: SpanMillis = SpanMillis::new(600_000);
 /// The port of the first service; the next services have the ports after it.
 const FIRST_PORT: u16 = 4433;
 
@@ -55,7 +55,7 @@
         let names: Vec<&str> = SERVICES.iter().map(|service| service.name).collect();
         let certificates = TestCertificate::new(&names)?.write(folder)?;
         let text = serde_json::to_string(&DeploymentSecret::random(1)).unwrap_or_default();
-        write_private(&folder.join("secret.json"), &text)
+        write_private_file(&folder.join("secret.json"), &text)
             .map_err(preparing("the deployment secret"))?;
         Ok(Self {
             folder: folder.to_owned(),
@@ -119,7 +119,7 @@
             control: self.control_addresses(),
             secret_file: self.secret_file(),
             tls: self.certificates.clone(),
-            connection_id_life: CONNECTION_ID_LIFE,
+            connection_id_lifetime: CONNECTION_ID_LIFETIME,
             admin_listen: None,
             metrics_listen: None,
             log_format: LogFormat::Text,
@@ -158,7 +158,7 @@
         Ok(DemoService {
             name: SERVICES[index].name,
             address: self.service_address(index),
-            trust: ServerTrust::load(&self.folder.join("root.pem"))?,
+            trusted_roots: TrustedRoots::load(&self.folder.join("root.pem"))?,
         })
     }
 
@@ -177,8 +177,8 @@
             peers: others
                 .map(|other| PeerSettings {
                     replica: other,
-                    link: self.link_address(other),
-                    calls: self.call_address(other),
+                    link_address: self.link_address(other),
+                    call_address: self.call_address(other),
                 })
                 .collect(),
             data_folder: self.folder.join(format!("control-{replica}")),
@@ -237,8 +237,8 @@
     FIRST_PORT + u16::try_from(index).unwrap_or_default()
 }
 
-fn domain(index: u8) -> DomainName {
-    DomainName::new(REGION, DOMAINS[usize::from(index) % DOMAINS.len()])
+fn domain(index: u8) -> FailureDomain {
+    FailureDomain::new(REGION, DOMAINS[usize::from(index) % DOMAINS.len()])
 }
 
 fn preparing(what: &'static str) -> impl Fn(io::Error) -> DemoError {
--- a/src/directory/target_directory.rs
+++ b/src/directory/target_directory.rs
@@ -3,7 +3,7 @@
     net::Ipv4Addr,
 };
 
-use super::{DirectoryNews, DirectoryPlace, TargetRecord, TargetStanding};
+use super::{DirectoryPosition, DirectoryUpdate, TargetRecord, TargetStatus};
 use crate::clock::{ClockMillis, SpanMillis};
 
 /// How often an agent announces its target.
@@ -62,7 +62,7 @@
 
     /// Sets the agents that ran before this replica started; an empty set if they
     /// are unknown.
-    pub(crate) fn await_agents(&mut self, agents: BTreeSet<Ipv4Addr>) {
+    pub(crate) fn expect_agents(&mut self, agents: BTreeSet<Ipv4Addr>) {
         self.knows_previous_agents = !agents.is_empty();
         self.expected = agents;
         self.expected
@@ -82,8 +82,8 @@
     }
 
     /// Returns the position of a watcher that is up to date.
-    pub(crate) fn place(&self) -> DirectoryPlace {
-        DirectoryPlace {
+    pub(crate) fn position(&self) -> DirectoryPosition {
+        DirectoryPosition {
             run: self.run,
             revision: self.revision,
         }
@@ -126,7 +126,7 @@
         let mass_silence = live >= MASS_SILENCE_MIN_TARGETS && silent.len() * 2 > live;
         if !mass_silence {
             for mut record in silent {
-                record.standing = TargetStanding::Silent;
+                record.status = TargetStatus::Silent;
                 let last_heard_at = self.entries[&record.agent].last_heard_at;
                 self.set(record, last_heard_at);
             }
@@ -141,19 +141,23 @@
         self.revision != revision_before
     }
 
-    /// Returns the changes since `place`, or the full directory if `place` is of
+    /// Returns the changes since `position`, or the full directory if `position` is of
     /// another run or before the last removal.
-    pub(crate) fn news(&self, place: DirectoryPlace, now: ClockMillis) -> DirectoryNews {
-        let is_delta = place.run == self.run && place.revision >= self.last_removal;
-        let seen = if is_delta { place.revision } else { 0 };
+    pub(crate) fn changes_since(
+        &self,
+        position: DirectoryPosition,
+        now: ClockMillis,
+    ) -> DirectoryUpdate {
+        let is_delta = position.run == self.run && position.revision >= self.last_removal;
+        let seen = if is_delta { position.revision } else { 0 };
         let records = self
             .entries
             .values()
             .filter(|entry| !is_delta || entry.revision > seen)
             .map(|entry| entry.record)
             .collect();
-        DirectoryNews {
-            place: self.place(),
+        DirectoryUpdate {
+            position: self.position(),
             full: !is_delta,
             settled: self.is_settled(now),
             records,
@@ -173,11 +177,11 @@
 
 /// Returns the time since the last announcement after which a record is dropped.
 fn retention(entry: &DirectoryEntry) -> SpanMillis {
-    match entry.record.standing {
-        TargetStanding::Ended => ENDED_RETENTION_MILLIS,
-        TargetStanding::Silent => SILENT_RETENTION_MILLIS,
+    match entry.record.status {
+        TargetStatus::Ended => ENDED_RETENTION_MILLIS,
+        TargetStatus::Silent => SILENT_RETENTION_MILLIS,
         // Never dropped before `expire` marks them as silent.
-        TargetStanding::Warming | TargetStanding::Serving | TargetStanding::Leaving => {
+        TargetStatus::Warming | TargetStatus::Serving | TargetStatus::Leaving => {
             SpanMillis::new(u64::MAX)
         }
     }
@@ -185,7 +189,7 @@
 
 fn is_live(entry: &DirectoryEntry) -> bool {
     !matches!(
-        entry.record.standing,
-        TargetStanding::Silent | TargetStanding::Ended
+        entry.record.status,
+        TargetStatus::Silent | TargetStatus::Ended
     )
 }
--- a/src/directory/target_view.rs
+++ b/src/directory/target_view.rs
@@ -3,7 +3,7 @@
     net::Ipv4Addr,
 };
 
-use super::{DirectoryNews, TargetRecord, TargetStanding};
+use super::{DirectoryUpdate, TargetRecord, TargetStatus};
 use crate::{
     flow::{KnownTargets, RankedTarget, ServiceTargets, TargetIncarnation, TargetRanking},
     listener::ServiceTag,
@@ -34,15 +34,15 @@
     /// Applies an update of a directory; returns the records that changed.
     ///
     /// Records that an unsettled directory does not list are kept.
-    pub(crate) fn take_news(&mut self, news: DirectoryNews) -> Vec<TargetRecord> {
+    pub(crate) fn apply_update(&mut self, update: DirectoryUpdate) -> Vec<TargetRecord> {
         let mut changed = Vec::new();
-        self.complete = news.settled;
-        if news.full && news.settled {
+        self.complete = update.settled;
+        if update.full && update.settled {
             let listed =
-                |agent: &Ipv4Addr| news.records.iter().any(|record| record.agent == *agent);
+                |agent: &Ipv4Addr| update.records.iter().any(|record| record.agent == *agent);
             self.records.retain(|agent, _| listed(agent));
         }
-        for record in news.records {
+        for record in update.records {
             let old = self.records.insert(record.agent, record);
             if !old.is_some_and(|old| old.has_same_state(&record)) {
                 changed.push(record);
@@ -65,17 +65,17 @@
         let mut accepting: HashMap<ServiceTag, Vec<RankedTarget>> = HashMap::new();
         let mut possible_owners: HashMap<ServiceTag, Vec<RankedTarget>> = HashMap::new();
         for record in self.records.values() {
-            let weight = match record.standing {
-                TargetStanding::Warming => Some(WARMING_WEIGHT),
-                TargetStanding::Serving => Some(1.0),
-                TargetStanding::Leaving | TargetStanding::Silent | TargetStanding::Ended => None,
+            let weight = match record.status {
+                TargetStatus::Warming => Some(WARMING_WEIGHT),
+                TargetStatus::Serving => Some(1.0),
+                TargetStatus::Leaving | TargetStatus::Silent | TargetStatus::Ended => None,
             };
             let agent = record.agent;
             if let Some(weight) = weight {
                 let ranked = RankedTarget { agent, weight };
                 accepting.entry(record.service).or_default().push(ranked);
             }
-            if record.standing != TargetStanding::Ended {
+            if record.status != TargetStatus::Ended {
                 let ranked = RankedTarget { agent, weight: 1.0 };
                 possible_owners
                     .entry(record.service)
@@ -96,8 +96,8 @@
 
 fn incarnation_of(record: &TargetRecord) -> (Ipv4Addr, TargetIncarnation) {
     let incarnation = TargetIncarnation {
-        id: record.target,
-        ended: record.standing == TargetStanding::Ended,
+        id: record.incarnation,
+        ended: record.status == TargetStatus::Ended,
     };
     (record.agent, incarnation)
 }
--- a/src/directory/tests.rs
+++ b/src/directory/tests.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, net::Ipv4Addr};
 
-use super::{DirectoryPlace, TargetDirectory, TargetRecord, TargetStanding, TargetView};
+use super::{DirectoryPosition, TargetDirectory, TargetRecord, TargetStatus, TargetView};
 use crate::{
     clock::{ClockMillis, SpanMillis},
     key::IncarnationId,
@@ -12,21 +12,21 @@
 const START: ClockMillis = ClockMillis::new(1_000);
 const SETTLED: ClockMillis = ClockMillis::new(10_000);
 
-fn record(number: u8, sequence: u64, standing: TargetStanding) -> TargetRecord {
+fn record(number: u8, sequence: u64, status: TargetStatus) -> TargetRecord {
     TargetRecord {
         agent: Ipv4Addr::new(10, 0, 1, number),
         service: ServiceTag::of("tavole"),
         agent_run: 1,
         sequence,
-        target: Some(IncarnationId::new(u64::from(number))),
-        standing,
+        incarnation: Some(IncarnationId::new(u64::from(number))),
+        status,
     }
 }
 
 fn directory(targets: u8, now: ClockMillis) -> TargetDirectory {
     let mut directory = TargetDirectory::new(7, START);
     for number in 0..targets {
-        directory.announce(record(number, 1, TargetStanding::Serving), now);
+        directory.announce(record(number, 1, TargetStatus::Serving), now);
     }
     directory
 }
@@ -42,16 +42,16 @@
 #[test]
 fn a_late_announcement_changes_nothing() {
     let mut directory = directory(1, START);
-    assert!(directory.announce(record(0, 5, TargetStanding::Leaving), START));
-    assert!(!directory.announce(record(0, 4, TargetStanding::Serving), START));
-    let news = directory.news(DirectoryPlace::default(), SETTLED);
-    assert_eq!(news.records, [record(0, 5, TargetStanding::Leaving)]);
+    assert!(directory.announce(record(0, 5, TargetStatus::Leaving), START));
+    assert!(!directory.announce(record(0, 4, TargetStatus::Serving), START));
+    let update = directory.changes_since(DirectoryPosition::default(), SETTLED);
+    assert_eq!(update.records, [record(0, 5, TargetStatus::Leaving)]);
 }
 
 #[test]
 fn a_restarted_agent_starts_a_new_sequence() {
     let mut directory = directory(1, START);
-    let mut restarted = record(0, 1, TargetStanding::Leaving);
+    let mut restarted = record(0, 1, TargetStatus::Leaving);
     restarted.agent_run = 2;
     assert!(directory.announce(restarted, START));
 }
@@ -59,12 +59,17 @@
 #[test]
 fn a_watcher_gets_only_changed_records() {
     let mut directory = directory(3, START);
-    let place = directory.place();
-    assert!(directory.news(place, SETTLED).records.is_empty());
-    directory.announce(record(1, 2, TargetStanding::Leaving), START);
-    let news = directory.news(place, SETTLED);
-    assert!(!news.full);
-    assert_eq!(news.records, [record(1, 2, TargetStanding::Leaving)]);
+    let position = directory.position();
+    assert!(
+        directory
+            .changes_since(position, SETTLED)
+            .records
+            .is_empty()
+    );
+    directory.announce(record(1, 2, TargetStatus::Leaving), START);
+    let update = directory.changes_since(position, SETTLED);
+    assert!(!update.full);
+    assert_eq!(update.records, [record(1, 2, TargetStatus::Leaving)]);
 }
 
 #[test]
@@ -72,11 +77,11 @@
     let mut directory = directory(5, START);
     let later = START.after(SpanMillis::new(3_000));
     for number in 0..4 {
-        directory.announce(record(number, 2, TargetStanding::Serving), later);
+        directory.announce(record(number, 2, TargetStatus::Serving), later);
     }
     assert!(directory.expire(later));
     let mut view = TargetView::default();
-    view.take_news(directory.news(DirectoryPlace::default(), SETTLED));
+    view.apply_update(directory.changes_since(DirectoryPosition::default(), SETTLED));
     assert_eq!(accepting_targets(&view), 4);
 }
 
@@ -89,11 +94,11 @@
 #[test]
 fn a_balancer_keeps_targets_that_an_unsettled_directory_does_not_list() {
     let mut view = TargetView::default();
-    view.take_news(directory(4, START).news(DirectoryPlace::default(), SETTLED));
+    view.apply_update(directory(4, START).changes_since(DirectoryPosition::default(), SETTLED));
     let restarted = directory(1, START);
-    view.take_news(restarted.news(DirectoryPlace::default(), START));
+    view.apply_update(restarted.changes_since(DirectoryPosition::default(), START));
     assert_eq!(accepting_targets(&view), 4);
-    view.take_news(restarted.news(DirectoryPlace::default(), SETTLED));
+    view.apply_update(restarted.changes_since(DirectoryPosition::default(), SETTLED));
     assert_eq!(accepting_targets(&view), 1);
 }
 
@@ -103,10 +108,10 @@
         .map(|number| Ipv4Addr::new(10, 0, 1, number))
         .collect();
     let mut restarted = TargetDirectory::new(8, START);
-    restarted.await_agents(agents);
+    restarted.expect_agents(agents);
     for number in 0..3 {
         assert!(!restarted.is_settled(START));
-        restarted.announce(record(number, 1, TargetStanding::Serving), START);
+        restarted.announce(record(number, 1, TargetStatus::Serving), START);
     }
     assert!(restarted.is_settled(START));
     // A directory that does not know them waits for agents that may still announce.
--- a/src/fleet/entry_maintenance.rs
+++ b/src/fleet/entry_maintenance.rs
@@ -14,7 +14,7 @@
     },
     fleet_counters::publish_gauge,
     fleet_datagram::FleetDatagram,
-    inspect_server::{InspectQuestion, Inspection},
+    inspect_server::{InspectRequest, Inspection},
 };
 use crate::{clock::ClockMillis, event::log_event};
 
@@ -48,7 +48,7 @@
                 if let Some(known) = file.poll_loaded() {
                     self.restart_notifier.start(&known, now);
                     directory.update(|directory| {
-                        directory.await_agents(known.agents);
+                        directory.expect_agents(known.agents);
                         false
                     });
                 }
@@ -79,7 +79,7 @@
         self.flows.sweep(now);
         self.update_ready();
         self.counters.publish();
-        publish_gauge("cyclamen_entry_flows", self.flows.remembered());
+        publish_gauge("cyclamen_entry_flows", self.flows.cached_owners());
         publish_gauge("cyclamen_entry_targets", self.view.len());
         publish_gauge("cyclamen_entry_suspects", self.flows.suspects());
         if let Some(at) = self.control_heard_at {
@@ -91,7 +91,7 @@
     pub(super) fn answer_inspection(&self, inspection: Inspection) {
         let now = self.clock.now();
         let reply = match inspection.request {
-            InspectQuestion::Dump => json!({
+            InspectRequest::Dump => json!({
                 "role": "entry",
                 "name": self.settings.name,
                 "domain": self.settings.domain,
@@ -101,11 +101,11 @@
                 "leader": self.group.leader(),
                 "leaving": self.stopping,
                 "targets": self.view.records().collect::<Vec<_>>(),
-                "flows": self.flows.remembered(),
+                "flows": self.flows.cached_owners(),
                 "suspects": self.flows.suspects(),
                 "packets": self.counters,
             }),
-            InspectQuestion::Flow(flow) => json!({
+            InspectRequest::Flow(flow) => json!({
                 "role": "entry",
                 "name": self.settings.name,
                 "routes_version": self.flows.table().version(),
--- a/src/fleet/entry_node.rs
+++ b/src/fleet/entry_node.rs
@@ -202,7 +202,7 @@
         log_event!(
             info,
             FleetEvent::EntryStopped,
-            flows = self.flows.remembered()
+            flows = self.flows.cached_owners()
         );
         Ok(())
     }
@@ -214,7 +214,7 @@
         if let Some(replica) = self.replica.clone() {
             tokio::spawn(async move { replica.transfer_leadership().await });
         }
-        let longest = self.settings.grace.less(SpanMillis::new(1_500));
+        let longest = self.settings.grace.saturating_sub(SpanMillis::new(1_500));
         Instant::now() + STOP_DELAY_MILLIS.min(longest).duration()
     }
 
@@ -291,7 +291,7 @@
 
     fn apply_reply(&mut self, reply: WatchReply) {
         let now = self.clock.now();
-        let could_end = self.flows.can_end_flows();
+        let could_reset = self.flows.can_reset_flows();
         let mut learned = false;
         self.control_lost = false;
         if reply.caught_up {
@@ -313,14 +313,14 @@
             learned = true;
         }
         if let Some(targets) = reply.targets {
-            for record in self.view.take_news(targets) {
+            for record in self.view.apply_update(targets) {
                 learned = true;
-                log_event!(info, FleetEvent::TargetChanged, agent = %record.agent, service = %record.service, standing = ?record.standing);
+                log_event!(info, FleetEvent::TargetChanged, agent = %record.agent, service = %record.service, standing = ?record.status);
             }
             self.flows.set_targets(self.view.known_targets());
         }
         self.update_ready();
-        if learned || self.flows.can_end_flows() != could_end {
+        if learned || self.flows.can_reset_flows() != could_reset {
             self.retry_parked();
         }
     }
--- a/src/fleet/entry_packets.rs
+++ b/src/fleet/entry_packets.rs
@@ -11,7 +11,7 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     event::log_event,
-    flow::{FlowPacket, FlowReport, FlowVerdict, HopHeader, RefusalCause, ReportStep},
+    flow::{FlowPacket, FlowReport, FlowVerdict, HopHeader, RefusalCause, ReportAction},
 };
 
 impl EntryNode {
@@ -37,16 +37,16 @@
         let now = self.clock.now();
         let mut packet = match self.codec.decode(bytes) {
             Ok(packet) => packet,
-            Err(fault) => {
+            Err(error) => {
                 self.counters.undecodable += 1;
                 if self.log_limiter.allows(FleetEvent::DatagramRefused, now) {
-                    log_event!(warn, FleetEvent::DatagramRefused, %fault);
+                    log_event!(warn, FleetEvent::DatagramRefused, fault = %error);
                 }
                 return;
             }
         };
-        packet.age = packet.age.plus(parked_for);
-        match self.flows.take_packet(&packet, bytes, now) {
+        packet.age = packet.age.saturating_add(parked_for);
+        match self.flows.handle_packet(&packet, bytes, now) {
             FlowVerdict::Forward { to, header } => {
                 self.log_forward(&packet, to, &header, now);
                 self.forward(bytes, to, header);
@@ -66,7 +66,7 @@
 
     /// Dispatches again the packets that were parked for routes or targets.
     pub(super) fn retry_parked(&mut self) {
-        for (parked_for, packet) in self.flows.take_parked(self.clock.now()) {
+        for (parked_for, packet) in self.flows.drain_parked(self.clock.now()) {
             self.dispatch_packet(&packet, parked_for);
         }
     }
@@ -80,7 +80,7 @@
         header: &HopHeader,
         now: ClockMillis,
     ) {
-        let event = if packet.opens() {
+        let event = if packet.is_opening() {
             self.counters.opened += 1;
             FleetEvent::FlowOpened
         } else if header.candidates().is_empty() {
@@ -145,10 +145,10 @@
         if let Some(waited) = self.flows.opening_age(report.flow, now) {
             histogram!("cyclamen_entry_opening_ms").record(waited.millis_float());
         }
-        match self.flows.take_report(report, now) {
-            ReportStep::Nothing => {}
-            ReportStep::Forward { packet, to, header } => self.forward(&packet, to, header),
-            ReportStep::Reset(reset) => {
+        match self.flows.handle_report(report, now) {
+            ReportAction::Nothing => {}
+            ReportAction::Forward { packet, to, header } => self.forward(&packet, to, header),
+            ReportAction::Reset(reset) => {
                 self.counters.ended += 1;
                 let answer = self.codec.encode_reset(&reset);
                 self.send_to_caller(*reset.flow.caller.ip(), &answer);
--- a/src/fleet/local_replica.rs
+++ b/src/fleet/local_replica.rs
@@ -75,18 +75,16 @@
             return Vec::new();
         }
         let members = view.members.iter();
-        members
-            .map(|member| member.seat.replica.address())
-            .collect()
+        members.map(|member| member.id.replica.address()).collect()
     }
 
     /// Returns the leader that this replica follows, or itself if it leads.
     pub(super) fn leader(&self) -> Option<Ipv4Addr> {
         let view = self.handle()?.view();
         match view.role {
-            ReplicaRole::Leader => Some(view.seat.replica.address()),
+            ReplicaRole::Leader => Some(view.member_id.replica.address()),
             ReplicaRole::Follower | ReplicaRole::Learner => {
-                view.leader.map(|seat| seat.replica.address())
+                view.leader.map(|member_id| member_id.replica.address())
             }
         }
     }
@@ -100,7 +98,7 @@
     /// Sets the replicas to ask for admission to the group.
     pub(super) fn update_peers(&self, members: &[Ipv4Addr]) {
         if let Some(handle) = self.handle() {
-            handle.meet_peers(members.iter().copied().map(ReplicaId::at).collect());
+            handle.update_peers(members.iter().copied().map(ReplicaId::at).collect());
         }
     }
 
@@ -135,7 +133,7 @@
     /// take over in time.
     pub(super) async fn transfer_leadership(&self) {
         if let Some(handle) = self.handle() {
-            handle.step_aside().await;
+            handle.transfer_leadership().await;
         }
     }
 
@@ -155,8 +153,8 @@
         .filter(|seed| *seed != settings.address)
         .map(|seed| PeerAddress {
             replica: ReplicaId::at(seed),
-            link: SocketAddrV4::new(seed, settings.ports.links),
-            calls: SocketAddrV4::new(seed, operator_port),
+            link_address: SocketAddrV4::new(seed, settings.ports.links),
+            call_address: SocketAddrV4::new(seed, operator_port),
         });
     ReplicaOptions {
         own: ReplicaId::at(settings.address),
@@ -166,15 +164,15 @@
         )),
         peers: peers.collect(),
         ports: Some(PeerPorts {
-            link: settings.ports.links,
-            calls: operator_port,
+            link_port: settings.ports.links,
+            call_port: operator_port,
         }),
         folder,
         admission: GroupAdmission::Open {
-            founds: settings.bootstrap && is_seed,
-            least_voters: 2 * settings.tolerated_losses + 1,
+            may_form_group: settings.bootstrap && is_seed,
+            min_voters: 2 * settings.tolerated_losses + 1,
         },
-        disk_faults: DiskFaultPolicy::Retry,
+        disk_fault_policy: DiskFaultPolicy::Retry,
     }
 }
 
--- a/src/fleet/side_node.rs
+++ b/src/fleet/side_node.rs
@@ -15,14 +15,14 @@
     fleet_counters::SideCounters,
     fleet_datagram::{FleetDatagram, MAX_DATAGRAM_BYTES},
     group_view::GroupView,
-    inspect_server::{InspectQuestion, Inspection, start_inspections},
+    inspect_server::{InspectRequest, Inspection, start_inspections},
     log_limiter::LogLimiter,
     side_handle::SideCommand,
     target_tracker::TargetTracker,
 };
 use crate::{
     clock::{ClockMillis, ProcessClock, SpanMillis},
-    directory::TargetStanding,
+    directory::TargetStatus,
     event::log_event,
     flow::{AgentFlows, PacketCodec},
     key::IncarnationId,
@@ -64,7 +64,7 @@
     pub(super) tracker: TargetTracker,
     pub(super) agent_run: u64,
     pub(super) sequence: u64,
-    pub(super) announced: Option<(TargetStanding, Option<IncarnationId>)>,
+    pub(super) announced: Option<(TargetStatus, Option<IncarnationId>)>,
     pub(super) repeats_left: u32,
     pub(super) announce_at: ClockMillis,
     pub(super) probe_at: ClockMillis,
@@ -156,7 +156,11 @@
                 () = wait_for_signal(&mut terminate) => break,
             }
         }
-        log_event!(info, FleetEvent::SideStopped, flows = self.flows.held());
+        log_event!(
+            info,
+            FleetEvent::SideStopped,
+            flows = self.flows.tracked_flows()
+        );
         Ok(())
     }
 
@@ -193,23 +197,23 @@
     fn answer_inspection(&self, inspection: Inspection) {
         let now = self.clock.now();
         let reply = match inspection.request {
-            InspectQuestion::Dump => json!({
+            InspectRequest::Dump => json!({
                 "role": "side",
                 "name": self.settings.fleet.name,
                 "service": self.settings.service,
                 "service_tag": self.service,
                 "target": self.settings.target,
                 "start": self.tracker.incarnation(),
-                "standing": self.announced.map(|(standing, _)| standing),
+                "standing": self.announced.map(|(status, _)| status),
                 "suspect": self.flows.is_suspect(),
                 "silence_ms": self.flows.silence(now),
                 "members": self.group.members(),
-                "flows": self.flows.held(),
-                "busy": self.flows.busy(),
+                "flows": self.flows.tracked_flows(),
+                "busy": self.flows.in_flight(),
                 "waiting": self.flows.waiting(),
                 "packets": self.counters,
             }),
-            InspectQuestion::Flow(flow) => json!({
+            InspectRequest::Flow(flow) => json!({
                 "role": "side",
                 "name": self.settings.fleet.name,
                 "flow": self.flows.find(flow, now),
--- a/src/fleet/side_packets.rs
+++ b/src/fleet/side_packets.rs
@@ -40,12 +40,12 @@
         };
         let step = self
             .flows
-            .take_frame(frame.header, &packet, frame.packet, now);
+            .handle_frame(frame.header, &packet, frame.packet, now);
         if packet.data_bytes > 0
             && let Some(request) = request_id(self.codec.data(frame.packet))
             && self.log_limiter.allows(FleetEvent::RequestDelivered, now)
         {
-            log_event!(info, FleetEvent::RequestDelivered, request, flow = %packet.caller_flow(), hops = frame.header.hops, target = ?self.tracker.target(), action = %step.action);
+            log_event!(info, FleetEvent::RequestDelivered, request, flow = %packet.caller_flow(), hops = frame.header.hops, target = ?self.tracker.lifecycle(), action = %step.action);
         }
         self.apply_step(step, frame.packet, packet.caller_flow(), now);
     }
@@ -77,7 +77,7 @@
             return self.refuse_datagram("no packet of the target", now);
         };
         let suspect = self.flows.is_suspect();
-        let step = self.flows.take_answer(&packet, now);
+        let step = self.flows.handle_target_packet(&packet, now);
         if suspect {
             log_event!(info, FleetEvent::TargetHeard, target = %self.settings.target);
             self.announce_change(now);
@@ -137,8 +137,8 @@
             AgentAction::Wait => {
                 self.counters.waited += 1;
                 if self.log_limiter.allows(FleetEvent::FlowWaits, now) {
-                    let (busy, waiting) = (self.flows.busy(), self.flows.waiting());
-                    log_event!(info, FleetEvent::FlowWaits, %flow, busy, waiting);
+                    let (in_flight, waiting) = (self.flows.in_flight(), self.flows.waiting());
+                    log_event!(info, FleetEvent::FlowWaits, %flow, busy = in_flight, waiting);
                 }
             }
             AgentAction::Drop => {
@@ -160,13 +160,13 @@
     /// Admits waiting openings to free slots, and refuses those that can't be
     /// served any more.
     pub(super) fn admit_waiting(&mut self, now: ClockMillis) {
-        while let Some(mut wait_end) = self.flows.next_waiting(now) {
-            histogram!("cyclamen_side_wait_ms").record(wait_end.waited.millis_float());
+        while let Some(mut dequeued) = self.flows.dequeue_opening(now) {
+            histogram!("cyclamen_side_wait_ms").record(dequeued.waited.millis_float());
             if self.log_limiter.allows(FleetEvent::WaitEnded, now) {
-                let (busy, waiting) = (self.flows.busy(), self.flows.waiting());
-                log_event!(info, FleetEvent::WaitEnded, flow = %wait_end.flow, waited = %wait_end.waited, action = %wait_end.step.action, busy, waiting);
+                let (in_flight, waiting) = (self.flows.in_flight(), self.flows.waiting());
+                log_event!(info, FleetEvent::WaitEnded, flow = %dequeued.flow, waited = %dequeued.waited, action = %dequeued.step.action, busy = in_flight, waiting);
             }
-            self.apply_step(wait_end.step, &mut wait_end.packet, wait_end.flow, now);
+            self.apply_step(dequeued.step, &mut dequeued.packet, dequeued.flow, now);
         }
     }
 
--- a/src/fleet/side_target.rs
+++ b/src/fleet/side_target.rs
@@ -17,21 +17,23 @@
 };
 use crate::{
     clock::ClockMillis,
-    directory::{ANNOUNCE_MILLIS, TargetRecord, TargetStanding},
+    directory::{ANNOUNCE_MILLIS, TargetRecord, TargetStatus},
     event::log_event,
 };
 
 impl SideNode {
     /// Updates whether the target accepts flows, resets the flows that are gone,
-    /// and returns the standing to announce.
-    pub(super) fn refresh_standing(&mut self, now: ClockMillis) -> TargetStanding {
-        let target = self.tracker.target();
+    /// and returns the status to announce.
+    pub(super) fn refresh_status(&mut self, now: ClockMillis) -> TargetStatus {
+        let lifecycle = self.tracker.lifecycle();
         let incarnation = self.tracker.incarnation();
         let gone_before = self.tracker.stale_flows_before(now);
         self.flows.set_slots(self.tracker.slots());
-        let resets = self.flows.set_target(target, incarnation, gone_before);
+        let resets = self
+            .flows
+            .set_lifecycle(lifecycle, incarnation, gone_before);
         if !resets.is_empty() {
-            log_event!(info, FleetEvent::FlowsGone, ?target, flows = resets.len());
+            log_event!(info, FleetEvent::FlowsGone, target = ?lifecycle, flows = resets.len());
         }
         for reset in resets {
             self.counters.reset += 1;
@@ -43,7 +45,7 @@
         if (suspect || silent) && now >= self.probe_at {
             self.probe_target(now);
         }
-        self.tracker.standing(target, suspect || silent, now)
+        self.tracker.status(lifecycle, suspect || silent, now)
     }
 
     /// Probes whether anything listens at the target's address; on the same VM a
@@ -78,10 +80,10 @@
         self.announce_change(now);
     }
 
-    /// Announces the target if its standing or incarnation has changed.
+    /// Announces the target if its status or incarnation has changed.
     pub(super) fn announce_change(&mut self, now: ClockMillis) {
-        let standing = self.refresh_standing(now);
-        if self.announced != Some((standing, self.tracker.incarnation())) {
+        let status = self.refresh_status(now);
+        if self.announced != Some((status, self.tracker.incarnation())) {
             self.announce(now);
         }
         self.admit_waiting(now);
@@ -89,12 +91,12 @@
 
     /// Announces the target to the control group, and drops idle flows.
     pub(super) fn announce(&mut self, now: ClockMillis) {
-        let standing = self.refresh_standing(now);
-        let announced = Some((standing, self.tracker.incarnation()));
+        let status = self.refresh_status(now);
+        let announced = Some((status, self.tracker.incarnation()));
         if self.announced != announced {
             self.announced = announced;
             self.repeats_left = CHANGE_REPEATS;
-            log_event!(info, FleetEvent::TargetChanged, agent = %self.settings.fleet.address, service = %self.service, ?standing);
+            log_event!(info, FleetEvent::TargetChanged, agent = %self.settings.fleet.address, service = %self.service, standing = ?status);
         }
         let pause = if self.repeats_left > 0 {
             self.repeats_left -= 1;
@@ -111,8 +113,8 @@
             service: self.service,
             agent_run: self.agent_run,
             sequence: self.sequence,
-            target: self.tracker.incarnation(),
-            standing,
+            incarnation: self.tracker.incarnation(),
+            status,
         };
         for contact in self.contacts(now) {
             self.fleet_socket
@@ -120,8 +122,8 @@
         }
         self.flows.sweep(now);
         self.counters.publish();
-        publish_gauge("cyclamen_side_flows", self.flows.held());
-        publish_gauge("cyclamen_side_busy", self.flows.busy());
+        publish_gauge("cyclamen_side_flows", self.flows.tracked_flows());
+        publish_gauge("cyclamen_side_busy", self.flows.in_flight());
         publish_gauge("cyclamen_side_waiting", self.flows.waiting());
         publish_gauge("cyclamen_side_suspect", self.flows.is_suspect().into());
     }
@@ -177,7 +179,7 @@
 
     /// Clears the suspicion of a target that has announced itself.
     pub(super) fn note_target_heard(&mut self, now: ClockMillis) {
-        if self.flows.hear_target(now) {
+        if self.flows.record_announcement(now) {
             log_event!(info, FleetEvent::TargetHeard, target = %self.settings.target);
             self.announce_change(now);
         }
--- a/src/fleet/target_tracker.rs
+++ b/src/fleet/target_tracker.rs
@@ -3,8 +3,8 @@
 use super::{TargetNotice, TargetState};
 use crate::{
     clock::{ClockMillis, SpanMillis},
-    directory::TargetStanding,
-    flow::AgentTarget,
+    directory::TargetStatus,
+    flow::TargetLifecycle,
     key::IncarnationId,
 };
 
@@ -43,7 +43,7 @@
     pub(crate) fn new(heartbeat: SpanMillis, now: ClockMillis) -> Self {
         Self {
             heartbeat,
-            max_silence: heartbeat.times(MISSED_ANNOUNCEMENTS),
+            max_silence: heartbeat.saturating_mul(MISSED_ANNOUNCEMENTS),
             latest_notice: None,
             ended: false,
             heard_at: now,
@@ -124,7 +124,7 @@
     pub(crate) fn stale_flows_before(&self, now: ClockMillis) -> ClockMillis {
         let is_over = self.ended || self.absent;
         let announced_for = match &self.latest_notice {
-            Some(notice) if !is_over => self.heartbeat.times(notice.sequence),
+            Some(notice) if !is_over => self.heartbeat.saturating_mul(notice.sequence),
             _ => SpanMillis::ZERO,
         };
         let longest_run = SpanMillis::new(
@@ -136,38 +136,38 @@
     }
 
     /// Returns whether the target accepts new flows and still holds its flows.
-    pub(crate) fn target(&self) -> AgentTarget {
+    pub(crate) fn lifecycle(&self) -> TargetLifecycle {
         if self.ended {
-            return AgentTarget::Ended;
+            return TargetLifecycle::Ended;
         }
         if self.absent {
-            return AgentTarget::Lost;
+            return TargetLifecycle::Lost;
         }
         match &self.latest_notice {
-            None => AgentTarget::Unproved,
+            None => TargetLifecycle::Unproved,
             Some(notice) => match notice.state {
-                TargetState::Ready => AgentTarget::Serving,
-                TargetState::Draining => AgentTarget::Leaving,
+                TargetState::Ready => TargetLifecycle::Serving,
+                TargetState::Draining => TargetLifecycle::Leaving,
             },
         }
     }
 
-    /// Returns the standing to announce for a target in this state; `suspect`
+    /// Returns the status to announce for a target in this state; `suspect`
     /// tells whether it is silent or leaves openings unanswered.
-    pub(crate) fn standing(
+    pub(crate) fn status(
         &self,
-        target: AgentTarget,
+        lifecycle: TargetLifecycle,
         suspect: bool,
         now: ClockMillis,
-    ) -> TargetStanding {
-        match target {
-            AgentTarget::Ended | AgentTarget::Lost => TargetStanding::Ended,
-            AgentTarget::Leaving => TargetStanding::Leaving,
-            AgentTarget::Unproved | AgentTarget::Serving if suspect => TargetStanding::Silent,
-            AgentTarget::Unproved | AgentTarget::Serving if now < self.warm_up_until => {
-                TargetStanding::Warming
+    ) -> TargetStatus {
+        match lifecycle {
+            TargetLifecycle::Ended | TargetLifecycle::Lost => TargetStatus::Ended,
+            TargetLifecycle::Leaving => TargetStatus::Leaving,
+            TargetLifecycle::Unproved | TargetLifecycle::Serving if suspect => TargetStatus::Silent,
+            TargetLifecycle::Unproved | TargetLifecycle::Serving if now < self.warm_up_until => {
+                TargetStatus::Warming
             }
-            AgentTarget::Unproved | AgentTarget::Serving => TargetStanding::Serving,
+            TargetLifecycle::Unproved | TargetLifecycle::Serving => TargetStatus::Serving,
         }
     }
 }
--- a/src/fleet/watch_client.rs
+++ b/src/fleet/watch_client.rs
@@ -16,14 +16,14 @@
     watch_frame::{WatchPoll, WatchReply, read_frame, write_frame},
     watch_server::LONG_POLL_MILLIS,
 };
-use crate::{clock::SpanMillis, directory::DirectoryPlace};
+use crate::{clock::SpanMillis, directory::DirectoryPosition};
 
 /// How long connecting may take; a VM without power never answers.
 const CONNECT_TIMEOUT_MILLIS: SpanMillis = SpanMillis::new(250);
 /// The delay between the connection attempts to successive replicas.
 const CONNECT_STAGGER_MILLIS: SpanMillis = SpanMillis::new(20);
 /// How long a reply may take, which the server may hold for `LONG_POLL_MILLIS`.
-const REPLY_TIMEOUT_MILLIS: SpanMillis = LONG_POLL_MILLIS.times(2);
+const REPLY_TIMEOUT_MILLIS: SpanMillis = LONG_POLL_MILLIS.saturating_mul(2);
 /// The pause before the replicas are tried again, and between polls while the
 /// directory has not settled.
 const RETRY_PAUSE_MILLIS: SpanMillis = SpanMillis::new(50);
@@ -53,7 +53,7 @@
     group: GroupView,
     updates: mpsc::Sender<WatchUpdate>,
     routes_version: u64,
-    position: DirectoryPlace,
+    position: DirectoryPosition,
 }
 
 impl WatchClient {
@@ -70,7 +70,7 @@
             group,
             updates,
             routes_version: 0,
-            position: DirectoryPlace::default(),
+            position: DirectoryPosition::default(),
         }
     }
 
@@ -111,7 +111,7 @@
                 let stream = timeout(CONNECT_TIMEOUT_MILLIS.duration(), connect).await;
                 Some((replica, stream.ok()?.ok()?))
             });
-            delay = delay.plus(CONNECT_STAGGER_MILLIS);
+            delay = delay.saturating_add(CONNECT_STAGGER_MILLIS);
         }
         loop {
             tokio::select! {
@@ -145,13 +145,13 @@
             }
             if let Some(targets) = &reply.targets {
                 self.position = if targets.settled {
-                    targets.place
+                    targets.position
                 } else {
-                    DirectoryPlace::default()
+                    DirectoryPosition::default()
                 };
             }
             let caught_up = reply.caught_up;
-            let unsettled = self.position == DirectoryPlace::default();
+            let unsettled = self.position == DirectoryPosition::default();
             if self
                 .updates
                 .send(WatchUpdate::Reply(Box::new(reply)))
--- a/src/flow/agent_flows.rs
+++ b/src/flow/agent_flows.rs
@@ -1,8 +1,8 @@
 use std::{collections::HashMap, net::Ipv4Addr};
 
 use super::{
-    AgentAction, AgentFlowInfo, AgentStep, AgentTarget, FlowKey, FlowPacket, FlowReport, FlowReset,
-    HopHeader, PacketSigns, ReportKind,
+    AgentAction, AgentFlowInfo, AgentStep, FlowKey, FlowPacket, FlowReport, FlowReset, HopHeader,
+    PacketFlags, ReportKind, TargetLifecycle,
     delivery_ring::DeliveryRing,
     opening_queue::OpeningQueue,
     pending_openings::{PendingOpening, PendingOpenings},
@@ -27,7 +27,7 @@
 pub(crate) struct AgentFlows {
     pub(super) own_address: Ipv4Addr,
     pub(super) service: ServiceTag,
-    pub(super) target: AgentTarget,
+    pub(super) lifecycle: TargetLifecycle,
     pub(super) incarnation: Option<IncarnationId>,
     pub(super) health: TargetHealth,
     pub(super) tracked: HashMap<FlowKey, TrackedFlow>,
@@ -52,7 +52,7 @@
         Self {
             own_address,
             service,
-            target: AgentTarget::Unproved,
+            lifecycle: TargetLifecycle::Unproved,
             incarnation: None,
             health: TargetHealth::default(),
             tracked: HashMap::new(),
@@ -72,15 +72,15 @@
     /// answered with one. Flows first seen at or after `cutoff` are kept, since
     /// a restarted target may have accepted them before it announced itself; if
     /// it has not, it bounces their next packet.
-    pub(crate) fn set_target(
+    pub(crate) fn set_lifecycle(
         &mut self,
-        target: AgentTarget,
+        lifecycle: TargetLifecycle,
         incarnation: Option<IncarnationId>,
         cutoff: ClockMillis,
     ) -> Vec<FlowReset> {
         let restarted = self.incarnation.is_some() && self.incarnation != incarnation;
-        let ended = matches!(target, AgentTarget::Ended | AgentTarget::Lost);
-        self.target = target;
+        let ended = matches!(lifecycle, TargetLifecycle::Ended | TargetLifecycle::Lost);
+        self.lifecycle = lifecycle;
         self.incarnation = incarnation;
         if !restarted && !ended {
             return Vec::new();
@@ -123,8 +123,8 @@
     }
 
     /// Returns the number of requests in flight at the target.
-    pub(crate) fn busy(&self) -> usize {
-        self.load.busy()
+    pub(crate) fn in_flight(&self) -> usize {
+        self.load.in_flight()
     }
 
     /// Returns the number of openings queued for a free slot.
@@ -133,24 +133,24 @@
     }
 
     /// Returns the number of tracked flows.
-    pub(crate) fn held(&self) -> usize {
+    pub(crate) fn tracked_flows(&self) -> usize {
         self.tracked.len()
     }
 
     /// Records an announcement of the target; returns whether it was suspected.
-    pub(crate) fn hear_target(&mut self, now: ClockMillis) -> bool {
+    pub(crate) fn record_announcement(&mut self, now: ClockMillis) -> bool {
         self.health.record_activity(now)
     }
 
     /// Handles a packet from a caller.
-    pub(crate) fn take_frame(
+    pub(crate) fn handle_frame(
         &mut self,
         header: HopHeader,
         packet: &FlowPacket,
         bytes: &[u8],
         now: ClockMillis,
     ) -> AgentStep {
-        if packet.opens() {
+        if packet.is_opening() {
             if header.service != self.service {
                 // The address belonged to another service before.
                 return self.pass_on(header, packet);
@@ -161,7 +161,10 @@
         // been opened under a former service of its route, and the target
         // bounces packets of flows that it does not hold.
         let flow = packet.caller_flow();
-        if matches!(self.target, AgentTarget::Ended | AgentTarget::Lost) {
+        if matches!(
+            self.lifecycle,
+            TargetLifecycle::Ended | TargetLifecycle::Lost
+        ) {
             return match self.tracked.remove(&flow) {
                 Some(tracked) if tracked.established => {
                     self.reset_flow(header, packet, ReportKind::Gone)
@@ -181,18 +184,22 @@
     }
 
     /// Handles a packet that the target sent or bounced.
-    pub(crate) fn take_answer(&mut self, packet: &FlowPacket, now: ClockMillis) -> AgentStep {
+    pub(crate) fn handle_target_packet(
+        &mut self,
+        packet: &FlowPacket,
+        now: ClockMillis,
+    ) -> AgentStep {
         self.health.record_activity(now);
-        if packet.signs.has(PacketSigns::BOUNCED) {
+        if packet.flags.has(PacketFlags::BOUNCED) {
             return self.handle_bounce(packet);
         }
         let flow = packet.target_flow();
-        if packet.signs.has(PacketSigns::RESET) {
+        if packet.flags.has(PacketFlags::RESET) {
             self.tracked.remove(&flow);
             self.load.cancel(flow);
             return AgentStep::without_report(AgentAction::Return);
         }
-        if packet.data_bytes > 0 || packet.signs.has(PacketSigns::FINISH) {
+        if packet.data_bytes > 0 || packet.flags.has(PacketFlags::FINISH) {
             self.load.finish(flow, now);
         }
         let opening = self.openings.remove(flow);
@@ -203,7 +210,7 @@
         let mut report = None;
         if let Some(tracked) = self.tracked.get_mut(&flow) {
             tracked.last_packet_at = now;
-            tracked.established |= !packet.signs.has(PacketSigns::OPEN);
+            tracked.established |= !packet.flags.has(PacketFlags::OPEN);
             if !tracked.reported {
                 tracked.reported = true;
                 report = Some((tracked.balancer, self.report(flow, 0, ReportKind::Held)));
@@ -222,7 +229,7 @@
         };
         let flow = packet.caller_flow();
         self.load.cancel(flow);
-        if packet.opens() {
+        if packet.is_opening() {
             self.openings.remove(flow);
             return self.pass_on(header, packet);
         }
@@ -271,7 +278,7 @@
     pub(super) fn pass_on(&self, header: HopHeader, packet: &FlowPacket) -> AgentStep {
         match header.next_hop() {
             Some((to, header)) => AgentStep::without_report(AgentAction::PassOn { to, header }),
-            None if packet.opens() => self.reset_flow(header, packet, ReportKind::Refused),
+            None if packet.is_opening() => self.reset_flow(header, packet, ReportKind::Refused),
             None => AgentStep {
                 action: AgentAction::Drop,
                 report: Some((
--- a/src/flow/mod.rs
+++ b/src/flow/mod.rs
@@ -33,15 +33,15 @@
 mod tracked_flow;
 
 pub use flow_key::FlowKey;
-pub use flow_packet::{FlowPacket, FlowReset, PacketSigns};
-pub use packet_codec::{PacketCodec, PacketFault};
+pub use flow_packet::{FlowPacket, FlowReset, PacketFlags};
+pub use packet_codec::{PacketCodec, PacketError};
 
 pub(crate) use agent_flows::AgentFlows;
-pub(crate) use agent_step::{AgentAction, AgentStep, AgentTarget, DequeuedOpening};
+pub(crate) use agent_step::{AgentAction, AgentStep, DequeuedOpening, TargetLifecycle};
 pub(crate) use balancer_flows::BalancerFlows;
 pub(crate) use flow_info::{AgentFlowInfo, BalancerFlowInfo, FlowOwnerInfo};
 pub(crate) use flow_report::{FlowReport, ReportKind};
-pub(crate) use flow_verdict::{FlowVerdict, RefusalCause, ReportStep};
+pub(crate) use flow_verdict::{FlowVerdict, RefusalCause, ReportAction};
 pub(crate) use hop_frame::{HopFrame, HopHeader};
 pub(crate) use known_targets::{KnownTargets, ServiceTargets, TargetIncarnation};
 pub(crate) use request_id::request_id;
--- a/src/flow/tests/balancer_startup.rs
+++ b/src/flow/tests/balancer_startup.rs
@@ -14,7 +14,7 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     flow::{
-        BalancerFlows, FlowPacket, FlowVerdict, PacketSigns, RefusalCause, ReportStep,
+        BalancerFlows, FlowPacket, FlowVerdict, PacketFlags, RefusalCause, ReportAction,
         ServiceTargets,
     },
     listener::{ListenerTable, ServiceTag},
@@ -39,14 +39,15 @@
 }
 
 fn opening(port: u16) -> FlowPacket {
-    from_caller(flow(port), PacketSigns::OPEN)
+    from_caller(flow(port), PacketFlags::OPEN)
 }
 
 #[test]
 fn packets_parked_before_the_routes_are_known_are_forwarded_afterwards() {
     let mut flows = started_balancer();
     for (port, millis) in [(1, 0), (2, 5), (1, 10)] {
-        let verdict = flows.take_packet(&opening(port), &[u8::try_from(port).unwrap()], at(millis));
+        let verdict =
+            flows.handle_packet(&opening(port), &[u8::try_from(port).unwrap()], at(millis));
         assert_eq!(verdict, FlowVerdict::Park(RefusalCause::NotReady));
     }
     set_routes_and_targets(
@@ -55,18 +56,18 @@
     );
     // One packet per flow, the oldest first.
     let ages = [295, 290].map(SpanMillis::new);
-    let parked = flows.take_parked(at(300));
+    let parked = flows.drain_parked(at(300));
     assert_eq!(parked, [(ages[0], vec![2]), (ages[1], vec![1])]);
-    assert_eq!(flows.take_parked(at(300)), []);
-    let verdict = flows.take_packet(&opening(1), &[1], at(300));
+    assert_eq!(flows.drain_parked(at(300)), []);
+    let verdict = flows.handle_packet(&opening(1), &[1], at(300));
     assert!(matches!(verdict, FlowVerdict::Forward { .. }));
 }
 
 #[test]
 fn a_parked_packet_is_dropped_after_a_second() {
     let mut flows = started_balancer();
-    flows.take_packet(&opening(1), &[1], START);
-    assert_eq!(flows.take_parked(at(1_000)), []);
+    flows.handle_packet(&opening(1), &[1], START);
+    assert_eq!(flows.drain_parked(at(1_000)), []);
 }
 
 #[test]
@@ -84,7 +85,7 @@
     asked.sort_unstable();
     // The routes may be older than the flow, so the targets of every service are asked.
     assert_eq!(asked, [agent(1), agent(2), agent(3)]);
-    assert!(matches!(end, ReportStep::Reset(_)));
+    assert!(matches!(end, ReportAction::Reset(_)));
 }
 
 #[test]
@@ -97,6 +98,6 @@
     let mut partial = known_targets(HashMap::from([(service(), targets(&[1], &[1]))]));
     partial.complete = false;
     flows.set_targets(partial);
-    assert_eq!(run_lookup(&mut flows).1, ReportStep::Nothing);
-    assert_eq!(flows.take_parked(START).len(), 1);
+    assert_eq!(run_lookup(&mut flows).1, ReportAction::Nothing);
+    assert_eq!(flows.drain_parked(START).len(), 1);
 }
--- a/src/flow/tests/balancer_verdicts.rs
+++ b/src/flow/tests/balancer_verdicts.rs
@@ -4,8 +4,8 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     flow::{
-        BalancerFlows, FlowReport, FlowVerdict, HopHeader, KnownTargets, PacketSigns, RankedTarget,
-        RefusalCause, ReportKind, ReportStep, ServiceTargets, TargetIncarnation, TargetRanking,
+        BalancerFlows, FlowReport, FlowVerdict, HopHeader, KnownTargets, PacketFlags, RankedTarget,
+        RefusalCause, ReportAction, ReportKind, ServiceTargets, TargetIncarnation, TargetRanking,
     },
     key::IncarnationId,
     listener::{
@@ -86,13 +86,13 @@
     port: u16,
     now: ClockMillis,
 ) -> (Ipv4Addr, Vec<Ipv4Addr>) {
-    let opening = from_caller(flow(port), PacketSigns::OPEN);
-    forwarded(flows.take_packet(&opening, &[1], now))
+    let opening = from_caller(flow(port), PacketFlags::OPEN);
+    forwarded(flows.handle_packet(&opening, &[1], now))
 }
 
 fn send_data(flows: &mut BalancerFlows, port: u16) -> (Ipv4Addr, Vec<Ipv4Addr>) {
-    let data = from_caller(flow(port), PacketSigns::ACKNOWLEDGE);
-    forwarded(flows.take_packet(&data, &[1], START))
+    let data = from_caller(flow(port), PacketFlags::ACKNOWLEDGE);
+    forwarded(flows.handle_packet(&data, &[1], START))
 }
 
 fn report(port: u16, from: Ipv4Addr, kind: ReportKind) -> FlowReport {
@@ -119,7 +119,7 @@
     let (first, candidates) = send_opening(&mut flows, 1, START);
     let holder = candidates[1];
     assert_ne!(first, holder);
-    flows.take_report(&report(1, holder, ReportKind::Held), START);
+    flows.handle_report(&report(1, holder, ReportKind::Held), START);
     assert_eq!(send_data(&mut flows, 1), (holder, Vec::new()));
 }
 
@@ -134,9 +134,9 @@
 #[test]
 fn a_flow_that_its_agent_does_not_hold_is_looked_up_again() {
     let mut flows = balancer();
-    flows.take_report(&report(1, agent(9), ReportKind::Held), START);
+    flows.handle_report(&report(1, agent(9), ReportKind::Held), START);
     assert_eq!(send_data(&mut flows, 1).0, agent(9));
-    flows.take_report(&report(1, agent(9), ReportKind::NotHeld), START);
+    flows.handle_report(&report(1, agent(9), ReportKind::NotHeld), START);
     let (asked, others) = send_data(&mut flows, 1);
     assert_ne!(asked, agent(9));
     assert_eq!(others.len(), 4);
@@ -169,7 +169,7 @@
     let avoided = (2..200).all(|port| send_opening(&mut flows, port, due).0 != silent);
     assert!(avoided);
     // A report of the agent ends the suspicion.
-    flows.take_report(&report(900, silent, ReportKind::Held), due);
+    flows.handle_report(&report(900, silent, ReportKind::Held), due);
     assert!((200..400).any(|port| send_opening(&mut flows, port, due).0 == silent));
 }
 
@@ -208,14 +208,14 @@
 fn an_opening_to_a_removed_route_is_reset_only_while_the_routes_are_current() {
     let mut flows = balancer();
     flows.table_mut().replace(&manifest(2, Vec::new()), START);
-    let opening = from_caller(flow(1), PacketSigns::OPEN);
-    let verdict = flows.take_packet(&opening, &[1], START);
+    let opening = from_caller(flow(1), PacketFlags::OPEN);
+    let verdict = flows.handle_packet(&opening, &[1], START);
     assert!(matches!(
         verdict,
         FlowVerdict::Reset(_, RefusalCause::NoRoute)
     ));
     flows.set_current(false);
-    let verdict = flows.take_packet(&opening, &[1], START);
+    let verdict = flows.handle_packet(&opening, &[1], START);
     assert_eq!(verdict, FlowVerdict::Park(RefusalCause::NotReady));
 }
 
@@ -223,16 +223,16 @@
 fn an_opening_is_parked_before_the_first_routes_are_known() {
     let mut flows = BalancerFlows::new(BALANCER, ListenerTable::new(FLOW_AGE), FLOW_AGE);
     flows.set_current(true);
-    let opening = from_caller(flow(1), PacketSigns::OPEN);
-    let verdict = flows.take_packet(&opening, &[1], START);
+    let opening = from_caller(flow(1), PacketFlags::OPEN);
+    let verdict = flows.handle_packet(&opening, &[1], START);
     assert_eq!(verdict, FlowVerdict::Park(RefusalCause::NotReady));
 }
 
 /// Sends data of flow 1, whose owner is not known; returns the agent that is asked
 /// first and the frame's header.
 fn start_lookup(flows: &mut BalancerFlows) -> (Ipv4Addr, HopHeader) {
-    let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
-    match flows.take_packet(&data, &[1], START) {
+    let data = from_caller(flow(1), PacketFlags::ACKNOWLEDGE);
+    match flows.handle_packet(&data, &[1], START) {
         FlowVerdict::Forward { to, header } => (to, header),
         other => panic!("not forwarded: {other:?}"),
     }
@@ -243,16 +243,16 @@
 }
 
 /// Runs a lookup of flow 1, which no target holds; returns the agents that were
-/// asked and the last step.
-pub(super) fn run_lookup(flows: &mut BalancerFlows) -> (Vec<Ipv4Addr>, ReportStep) {
+/// asked and the last action.
+pub(super) fn run_lookup(flows: &mut BalancerFlows) -> (Vec<Ipv4Addr>, ReportAction) {
     let (mut to, mut header) = start_lookup(flows);
     let mut asked = Vec::new();
     loop {
         asked.push(to);
         asked.extend(header.candidates());
         let report = not_held(last_candidate(to, &header), header.lookup_id);
-        match flows.take_report(&report, START) {
-            ReportStep::Forward {
+        match flows.handle_report(&report, START) {
+            ReportAction::Forward {
                 to: next,
                 header: after,
                 ..
@@ -271,7 +271,7 @@
         targets(&agents, &agents),
     )])));
     let (mut asked, end) = run_lookup(&mut flows);
-    assert!(matches!(end, ReportStep::Reset(reset) if reset.flow == flow(1)));
+    assert!(matches!(end, ReportAction::Reset(reset) if reset.flow == flow(1)));
     assert_eq!(asked.len(), 42);
     asked.sort_unstable();
     asked.dedup();
@@ -284,10 +284,10 @@
     let mut partial = known_targets(HashMap::from([(service(), targets(&[1, 2], &[1, 2]))]));
     partial.complete = false;
     flows.set_targets(partial);
-    assert_eq!(run_lookup(&mut flows).1, ReportStep::Nothing);
+    assert_eq!(run_lookup(&mut flows).1, ReportAction::Nothing);
     let mut flows = balancer();
     flows.set_current(false);
-    assert_eq!(run_lookup(&mut flows).1, ReportStep::Nothing);
+    assert_eq!(run_lookup(&mut flows).1, ReportAction::Nothing);
 }
 
 #[test]
@@ -300,8 +300,8 @@
         targets(&agents, &agents),
     )])));
     let report = not_held(last_candidate(to, &header), header.lookup_id);
-    let step = flows.take_report(&report, START);
-    assert!(matches!(step, ReportStep::Forward { to, .. } if to == agent(6)));
+    let action = flows.handle_report(&report, START);
+    assert!(matches!(action, ReportAction::Forward { to, .. } if to == agent(6)));
 }
 
 /// Soak seed 2102: on a slow path, the last agent's report on an earlier packet
@@ -312,17 +312,17 @@
     let (to, earlier) = start_lookup(&mut flows);
     let (_, later) = start_lookup(&mut flows);
     let last = last_candidate(to, &earlier);
-    let step = flows.take_report(&not_held(last, earlier.lookup_id), START);
-    assert_eq!(step, ReportStep::Nothing);
-    let step = flows.take_report(&not_held(last, later.lookup_id), START);
-    assert!(matches!(step, ReportStep::Reset(_)));
+    let action = flows.handle_report(&not_held(last, earlier.lookup_id), START);
+    assert_eq!(action, ReportAction::Nothing);
+    let action = flows.handle_report(&not_held(last, later.lookup_id), START);
+    assert!(matches!(action, ReportAction::Reset(_)));
 }
 
 #[test]
 fn a_not_held_report_of_another_agent_keeps_the_confirmed_owner() {
     let mut flows = balancer();
-    flows.take_report(&report(1, agent(2), ReportKind::Held), START);
-    flows.take_report(&not_held(agent(3), 0), START);
+    flows.handle_report(&report(1, agent(2), ReportKind::Held), START);
+    flows.handle_report(&not_held(agent(3), 0), START);
     assert_eq!(send_data(&mut flows, 1), (agent(2), Vec::new()));
 }
 
@@ -330,15 +330,15 @@
 fn a_not_held_report_of_an_agent_that_is_not_the_last_one_is_ignored() {
     let mut flows = balancer();
     let (to, header) = start_lookup(&mut flows);
-    let step = flows.take_report(&not_held(to, header.lookup_id), START);
-    assert_eq!(step, ReportStep::Nothing);
+    let action = flows.handle_report(&not_held(to, header.lookup_id), START);
+    assert_eq!(action, ReportAction::Nothing);
 }
 
 /// Returns a balancer to which agent 2 reported flow 1 as held, and which knows
 /// this incarnation of the agent's target.
 fn balancer_with_incarnation(incarnation: TargetIncarnation) -> BalancerFlows {
     let mut flows = balancer();
-    flows.take_report(&report(1, agent(2), ReportKind::Held), START);
+    flows.handle_report(&report(1, agent(2), ReportKind::Held), START);
     let mut targets = known_targets(HashMap::from([(
         service(),
         targets(&[1, 2, 3], &[1, 2, 3]),
@@ -354,8 +354,8 @@
         id: Some(INCARNATION),
         ended: true,
     });
-    let data = from_caller(flow(1), PacketSigns::ACKNOWLEDGE);
-    let verdict = flows.take_packet(&data, &[1], START);
+    let data = from_caller(flow(1), PacketFlags::ACKNOWLEDGE);
+    let verdict = flows.handle_packet(&data, &[1], START);
     assert!(matches!(
         verdict,
         FlowVerdict::Reset(_, RefusalCause::TargetGone)
@@ -374,13 +374,13 @@
     assert_eq!(asked, agent(2));
     assert_eq!(others.len(), 2);
     // If no target holds the flow, it is reset.
-    assert!(matches!(run_lookup(&mut flows).1, ReportStep::Reset(_)));
+    assert!(matches!(run_lookup(&mut flows).1, ReportAction::Reset(_)));
 }
 
 #[test]
 fn a_flow_of_a_silent_target_is_not_reset() {
     let mut flows = balancer();
-    flows.take_report(&report(1, agent(2), ReportKind::Held), START);
+    flows.handle_report(&report(1, agent(2), ReportKind::Held), START);
     let mut targets = known_targets(HashMap::from([(service(), targets(&[1], &[1, 2]))]));
     let same = TargetIncarnation {
         id: Some(INCARNATION),
@@ -401,6 +401,6 @@
         assert_eq!(flows.expire_openings(due).len(), 1);
     }
     assert!(flows.is_isolated());
-    flows.take_report(&report(1, agent(1), ReportKind::Held), START);
+    flows.handle_report(&report(1, agent(1), ReportKind::Held), START);
     assert!(!flows.is_isolated());
 }
--- a/src/flow/tests/full_target.rs
+++ b/src/flow/tests/full_target.rs
@@ -8,8 +8,8 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     flow::{
-        AgentAction, AgentFlows, AgentTarget, FlowKey, FlowPacket, HopHeader, PacketSigns,
-        ReportKind,
+        AgentAction, AgentFlows, FlowKey, FlowPacket, HopHeader, PacketFlags, ReportKind,
+        TargetLifecycle,
     },
     listener::{RouteUrgency, ServiceTag},
 };
@@ -43,32 +43,32 @@
 }
 
 fn offer(flows: &mut AgentFlows, port: u16, rank: u8, now: ClockMillis) -> AgentAction {
-    let opening = from_caller(flow(port), PacketSigns::OPEN);
+    let opening = from_caller(flow(port), PacketFlags::OPEN);
     flows
-        .take_frame(header(rank, &[]), &opening, &[1], now)
+        .handle_frame(header(rank, &[]), &opening, &[1], now)
         .action
 }
 
 fn request(flow: FlowKey) -> FlowPacket {
     FlowPacket {
         data_bytes: 100,
-        ..from_caller(flow, PacketSigns::ACKNOWLEDGE)
+        ..from_caller(flow, PacketFlags::ACKNOWLEDGE)
     }
 }
 
 fn answer(flow: FlowKey) -> FlowPacket {
     FlowPacket {
         data_bytes: 100,
-        ..from_target(flow, PacketSigns::ACKNOWLEDGE)
+        ..from_target(flow, PacketFlags::ACKNOWLEDGE)
     }
 }
 
 /// Opens a flow and sends a request on it.
 fn open_and_request(flows: &mut AgentFlows, port: u16, now: ClockMillis) {
     offer(flows, port, 2, now);
-    let accepted = PacketSigns::OPEN.with(PacketSigns::ACKNOWLEDGE);
-    flows.take_answer(&from_target(flow(port), accepted), now);
-    flows.take_frame(header(2, &[]), &request(flow(port)), &[1], now);
+    let accepted = PacketFlags::OPEN.with(PacketFlags::ACKNOWLEDGE);
+    flows.handle_target_packet(&from_target(flow(port), accepted), now);
+    flows.handle_frame(header(2, &[]), &request(flow(port)), &[1], now);
 }
 
 /// Returns an agent whose target is full with the requests of flows 1 to
@@ -76,7 +76,7 @@
 fn full_agent() -> AgentFlows {
     let mut flows = AgentFlows::new(OWN, service(), 100, SpanMillis::new(60_000));
     flows.set_slots(Some(SLOTS));
-    flows.set_target(AgentTarget::Serving, None, START);
+    flows.set_lifecycle(TargetLifecycle::Serving, None, START);
     for port in 1..=MAX_IN_FLIGHT {
         open_and_request(&mut flows, port, START);
     }
@@ -87,10 +87,10 @@
 /// callers.
 fn admitted(flows: &mut AgentFlows, now: ClockMillis) -> Vec<u16> {
     let mut ports = Vec::new();
-    while let Some(end) = flows.next_waiting(now) {
-        let delivered = matches!(end.step.action, AgentAction::Deliver { .. });
-        assert!(delivered, "{end:?}");
-        ports.push(end.flow.caller.port());
+    while let Some(dequeued) = flows.dequeue_opening(now) {
+        let delivered = matches!(dequeued.step.action, AgentAction::Deliver { .. });
+        assert!(delivered, "{dequeued:?}");
+        ports.push(dequeued.flow.caller.port());
     }
     ports
 }
@@ -98,21 +98,21 @@
 #[test]
 fn a_full_target_passes_an_opening_on() {
     let mut flows = full_agent();
-    let opening = from_caller(flow(9), PacketSigns::OPEN);
-    let step = flows.take_frame(header(2, &[4]), &opening, &[1], START);
+    let opening = from_caller(flow(9), PacketFlags::OPEN);
+    let step = flows.handle_frame(header(2, &[4]), &opening, &[1], START);
     assert!(matches!(step.action, AgentAction::PassOn { to, .. } if to == agent(4)));
 }
 
 #[test]
 fn the_last_candidate_queues_an_opening_until_a_slot_is_free() {
     let mut flows = full_agent();
-    let opening = from_caller(flow(9), PacketSigns::OPEN);
-    let step = flows.take_frame(header(2, &[]), &opening, &[1], START);
+    let opening = from_caller(flow(9), PacketFlags::OPEN);
+    let step = flows.handle_frame(header(2, &[]), &opening, &[1], START);
     assert_eq!(step.action, AgentAction::Wait);
     let report = step.report.map(|(to, report)| (to, report.kind));
     assert_eq!(report, Some((BALANCER, ReportKind::Waiting)));
     assert_eq!(admitted(&mut flows, at(10)), [0; 0]);
-    flows.take_answer(&answer(flow(1)), at(10));
+    flows.handle_target_packet(&answer(flow(1)), at(10));
     assert_eq!(admitted(&mut flows, at(10)), [9]);
     assert_eq!(flows.waiting(), 0);
 }
@@ -133,11 +133,11 @@
     offer(&mut flows, 11, 2, at(160));
     offer(&mut flows, 12, 1, at(155));
     for port in 1..=MAX_IN_FLIGHT {
-        flows.take_answer(&answer(flow(port)), at(170));
+        flows.handle_target_packet(&answer(flow(port)), at(170));
     }
     // Flow 9 has waited for more than half of its goal, so it goes last.
     assert_eq!(admitted(&mut flows, at(170)), [12, 11, 10]);
-    flows.take_answer(&answer(flow(12)), at(200));
+    flows.handle_target_packet(&answer(flow(12)), at(200));
     assert_eq!(admitted(&mut flows, at(200)), [9]);
 }
 
@@ -145,11 +145,11 @@
 #[test]
 fn a_retransmitted_opening_has_the_age_of_the_first_one() {
     let mut flows = full_agent();
-    let retransmission = from_caller(flow(9), PacketSigns::OPEN);
+    let retransmission = from_caller(flow(9), PacketFlags::OPEN);
     let aged = header(1, &[]).with_age(SpanMillis::new(600));
-    flows.take_frame(aged, &retransmission, &[1], at(20));
+    flows.handle_frame(aged, &retransmission, &[1], at(20));
     offer(&mut flows, 10, 2, at(0));
-    flows.take_answer(&answer(flow(1)), at(20));
+    flows.handle_target_packet(&answer(flow(1)), at(20));
     assert_eq!(admitted(&mut flows, at(20)), [10]);
 }
 
@@ -158,17 +158,17 @@
 #[test]
 fn an_opening_whose_turn_would_come_after_its_timeout_is_refused_at_once() {
     let mut flows = full_agent();
-    flows.take_answer(&answer(flow(1)), at(1_800));
+    flows.handle_target_packet(&answer(flow(1)), at(1_800));
     open_and_request(&mut flows, 8, at(1_800));
     for port in 10..15 {
         offer(&mut flows, port, 2, at(u64::from(1_800 + port)));
     }
-    assert_eq!(flows.next_waiting(at(1_820)), None);
+    assert_eq!(flows.dequeue_opening(at(1_820)), None);
     offer(&mut flows, 15, 2, at(1_820));
-    let end = flows.next_waiting(at(1_820)).expect("a refusal");
-    assert_eq!(end.flow, flow(10), "the opening that would go last");
-    assert!(matches!(end.step.action, AgentAction::Reset(_)));
-    assert_eq!(flows.next_waiting(at(1_820)), None);
+    let dequeued = flows.dequeue_opening(at(1_820)).expect("a refusal");
+    assert_eq!(dequeued.flow, flow(10), "the opening that would go last");
+    assert!(matches!(dequeued.step.action, AgentAction::Reset(_)));
+    assert_eq!(flows.dequeue_opening(at(1_820)), None);
     assert_eq!(flows.waiting(), 5);
 }
 
@@ -176,47 +176,49 @@
 fn an_opening_that_waited_too_long_is_refused() {
     let mut flows = full_agent();
     offer(&mut flows, 9, 2, START);
-    assert_eq!(flows.next_waiting(at(900)), None);
+    assert_eq!(flows.dequeue_opening(at(900)), None);
     assert!(flows.next_due().is_some_and(|due| due <= at(1_000)));
-    let end = flows.next_waiting(at(1_000)).expect("a refusal");
-    assert_eq!((end.flow, end.waited.millis()), (flow(9), 1_000));
-    assert!(matches!(end.step.action, AgentAction::Reset(_)));
-    let kind = end.step.report.map(|(_, report)| report.kind);
+    let dequeued = flows.dequeue_opening(at(1_000)).expect("a refusal");
+    assert_eq!((dequeued.flow, dequeued.waited.millis()), (flow(9), 1_000));
+    assert!(matches!(dequeued.step.action, AgentAction::Reset(_)));
+    let kind = dequeued.step.report.map(|(_, report)| report.kind);
     assert_eq!(kind, Some(ReportKind::Refused));
 }
 
 #[rstest]
-#[case::leaving(AgentTarget::Leaving)]
-#[case::ended(AgentTarget::Ended)]
-#[case::lost(AgentTarget::Lost)]
-fn queued_openings_are_refused_once_the_target_accepts_no_flows(#[case] target: AgentTarget) {
+#[case::leaving(TargetLifecycle::Leaving)]
+#[case::ended(TargetLifecycle::Ended)]
+#[case::lost(TargetLifecycle::Lost)]
+fn queued_openings_are_refused_once_the_target_accepts_no_flows(
+    #[case] lifecycle: TargetLifecycle,
+) {
     let mut flows = full_agent();
     offer(&mut flows, 9, 2, START);
-    flows.set_target(target, None, START);
-    flows.take_answer(&answer(flow(1)), at(10));
-    let end = flows.next_waiting(at(10)).expect("a refusal");
-    assert!(matches!(end.step.action, AgentAction::Reset(_)));
-    assert_eq!(flows.next_waiting(at(10)), None);
+    flows.set_lifecycle(lifecycle, None, START);
+    flows.handle_target_packet(&answer(flow(1)), at(10));
+    let dequeued = flows.dequeue_opening(at(10)).expect("a refusal");
+    assert!(matches!(dequeued.step.action, AgentAction::Reset(_)));
+    assert_eq!(flows.dequeue_opening(at(10)), None);
 }
 
 #[test]
 fn a_retransmitted_request_is_not_counted_again() {
     let mut flows = full_agent();
-    flows.take_answer(&answer(flow(1)), at(10));
-    flows.take_frame(header(2, &[]), &request(flow(1)), &[1], at(20));
-    assert_eq!(flows.busy(), usize::from(MAX_IN_FLIGHT) - 1);
+    flows.handle_target_packet(&answer(flow(1)), at(10));
+    flows.handle_frame(header(2, &[]), &request(flow(1)), &[1], at(20));
+    assert_eq!(flows.in_flight(), usize::from(MAX_IN_FLIGHT) - 1);
 }
 
 #[test]
 fn a_reservation_without_a_request_expires() {
     let mut flows = full_agent();
-    flows.take_answer(&answer(flow(1)), START);
+    flows.handle_target_packet(&answer(flow(1)), START);
     assert!(matches!(
         offer(&mut flows, 8, 2, START),
         AgentAction::Deliver { .. }
     ));
-    let accepted = PacketSigns::OPEN.with(PacketSigns::ACKNOWLEDGE);
-    flows.take_answer(&from_target(flow(8), accepted), START);
+    let accepted = PacketFlags::OPEN.with(PacketFlags::ACKNOWLEDGE);
+    flows.handle_target_packet(&from_target(flow(8), accepted), START);
     offer(&mut flows, 9, 2, START);
     assert_eq!(admitted(&mut flows, at(29)), [0; 0]);
     assert_eq!(admitted(&mut flows, at(30)), [9]);
@@ -226,13 +228,13 @@
 fn a_bounced_request_is_not_in_flight() {
     let mut flows = full_agent();
     let packet = request(flow(7));
-    let step = flows.take_frame(header(2, &[]), &packet, &[1], START);
+    let step = flows.handle_frame(header(2, &[]), &packet, &[1], START);
     let AgentAction::Deliver { tag } = step.action else {
         panic!("not delivered: {step:?}");
     };
-    assert_eq!(flows.busy(), usize::from(MAX_IN_FLIGHT) + 1);
-    flows.take_answer(&bounced(flow(7), PacketSigns::ACKNOWLEDGE, tag), START);
-    assert_eq!(flows.busy(), usize::from(MAX_IN_FLIGHT));
+    assert_eq!(flows.in_flight(), usize::from(MAX_IN_FLIGHT) + 1);
+    flows.handle_target_packet(&bounced(flow(7), PacketFlags::ACKNOWLEDGE, tag), START);
+    assert_eq!(flows.in_flight(), usize::from(MAX_IN_FLIGHT));
 }
 
 #[test]
--- a/src/flow/tests/opening_burst.rs
+++ b/src/flow/tests/opening_burst.rs
@@ -11,8 +11,8 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     flow::{
-        AgentAction, AgentFlows, AgentTarget, FlowKey, FlowPacket, HopHeader, PacketSigns,
-        RankedTarget, TargetRanking,
+        AgentAction, AgentFlows, FlowKey, FlowPacket, HopHeader, PacketFlags, RankedTarget,
+        TargetLifecycle, TargetRanking,
     },
     listener::{RouteUrgency, ServiceTag},
 };
@@ -64,7 +64,7 @@
             let address = agent(number);
             let mut flows = AgentFlows::new(address, service(), 1, SpanMillis::new(60_000));
             flows.set_slots(Some(4));
-            flows.set_target(AgentTarget::Serving, None, ClockMillis::ORIGIN);
+            flows.set_lifecycle(TargetLifecycle::Serving, None, ClockMillis::ORIGIN);
             (address, (number, flows, ModelTarget::default()))
         });
         let ranked = (1..=TARGETS).map(|number| RankedTarget {
@@ -109,10 +109,10 @@
             .with_candidates(self.ranking.rank(flow, usize::from(TARGETS)));
         let mut hop = header.next_hop();
         while let Some((at, header)) = hop {
-            let opening = from_caller(flow, PacketSigns::OPEN);
+            let opening = from_caller(flow, PacketFlags::OPEN);
             let (number, flows, _) = self.agents.get_mut(&at).expect("an agent");
             let number = *number;
-            match flows.take_frame(header, &opening, &[1], now).action {
+            match flows.handle_frame(header, &opening, &[1], now).action {
                 AgentAction::PassOn { to, header } => hop = Some((to, header)),
                 AgentAction::Deliver { .. } => return self.accept(number, flow, now),
                 AgentAction::Wait => return,
@@ -123,9 +123,9 @@
 
     /// Lets the target answer an opening and schedules the caller's request.
     fn accept(&mut self, number: u8, flow: FlowKey, now: ClockMillis) {
-        let accepted = PacketSigns::OPEN.with(PacketSigns::ACKNOWLEDGE);
+        let accepted = PacketFlags::OPEN.with(PacketFlags::ACKNOWLEDGE);
         let (_, flows, _) = self.agents.get_mut(&agent(number)).expect("an agent");
-        flows.take_answer(&from_target(flow, accepted), now);
+        flows.handle_target_packet(&from_target(flow, accepted), now);
         self.schedule(
             now.millis() + ROUND_TRIP_MILLIS,
             flow,
@@ -136,11 +136,11 @@
     fn request(&mut self, number: u8, flow: FlowKey, now: ClockMillis) {
         let packet = FlowPacket {
             data_bytes: 100,
-            ..from_caller(flow, PacketSigns::ACKNOWLEDGE)
+            ..from_caller(flow, PacketFlags::ACKNOWLEDGE)
         };
         let header = HopHeader::new(service(), BALANCER);
         let (_, flows, target) = self.agents.get_mut(&agent(number)).expect("an agent");
-        flows.take_frame(header, &packet, &[1], now);
+        flows.handle_frame(header, &packet, &[1], now);
         target.queued.push_back(flow);
         self.start_requests(number, now);
     }
@@ -148,17 +148,17 @@
     fn answer(&mut self, number: u8, flow: FlowKey, now: ClockMillis) {
         let packet = FlowPacket {
             data_bytes: 100,
-            ..from_target(flow, PacketSigns::ACKNOWLEDGE)
+            ..from_target(flow, PacketFlags::ACKNOWLEDGE)
         };
         let (_, flows, target) = self.agents.get_mut(&agent(number)).expect("an agent");
-        flows.take_answer(&packet, now);
+        flows.handle_target_packet(&packet, now);
         target.processing -= 1;
         let opened_at = self.opened_at[&flow];
         self.answered_after.insert(flow, now.millis() - opened_at);
         let mut delivered = Vec::new();
-        while let Some(end) = flows.next_waiting(now) {
-            match end.step.action {
-                AgentAction::Deliver { .. } => delivered.push(end.flow),
+        while let Some(dequeued) = flows.dequeue_opening(now) {
+            match dequeued.step.action {
+                AgentAction::Deliver { .. } => delivered.push(dequeued.flow),
                 // The caller would open another flow, which is not simulated.
                 AgentAction::Reset(_) => {}
                 other => panic!("neither delivered nor refused: {other:?}"),
--- a/src/flow/tests/overload.rs
+++ b/src/flow/tests/overload.rs
@@ -6,7 +6,7 @@
 use super::{BALANCER, agent, bounced, flow, from_caller};
 use crate::{
     clock::{ClockMillis, SpanMillis},
-    flow::{AgentAction, AgentFlows, AgentTarget, HopHeader, PacketSigns},
+    flow::{AgentAction, AgentFlows, HopHeader, PacketFlags, TargetLifecycle},
     listener::ServiceTag,
 };
 
@@ -20,7 +20,7 @@
 ///
 /// Returns the agents that were tried and whether the caller was refused.
 fn offer(candidates: &[u8], full: &[u8]) -> (Vec<Ipv4Addr>, bool) {
-    let opening = from_caller(flow(1), PacketSigns::OPEN);
+    let opening = from_caller(flow(1), PacketFlags::OPEN);
     let agents = candidates.iter().copied().map(agent);
     let header = HopHeader::new(service(), BALANCER).with_candidates(agents);
     let mut tried = Vec::new();
@@ -28,16 +28,16 @@
     while let Some((at, header)) = hop {
         tried.push(at);
         let mut flows = AgentFlows::new(at, service(), 1, SpanMillis::new(60_000));
-        flows.set_target(AgentTarget::Serving, None, START);
-        let step = flows.take_frame(header, &opening, &[1], START);
+        flows.set_lifecycle(TargetLifecycle::Serving, None, START);
+        let step = flows.handle_frame(header, &opening, &[1], START);
         let AgentAction::Deliver { tag } = step.action else {
             panic!("not delivered: {step:?}");
         };
         if !full.iter().any(|number| agent(*number) == at) {
             return (tried, false);
         }
-        let bounce = bounced(flow(1), PacketSigns::OPEN, tag);
-        hop = match flows.take_answer(&bounce, START).action {
+        let bounce = bounced(flow(1), PacketFlags::OPEN, tag);
+        hop = match flows.handle_target_packet(&bounce, START).action {
             AgentAction::PassOn { to, header } => Some((to, header)),
             AgentAction::Reset(_) => return (tried, true),
             other => panic!("neither passed on nor refused: {other:?}"),
--- a/src/lab/cost/agent_cost.rs
+++ b/src/lab/cost/agent_cost.rs
@@ -4,7 +4,7 @@
 use crate::{
     agent::{
         admission::{
-            AcceptRule, AdmissionGate, AgentPhase, CandidatePlace, ClientCid, ConnectionOffer,
+            AcceptRule, AdmissionGate, AgentPhase, CandidatePosition, ClientCid, ConnectionAttempt,
             TargetLoad,
         },
         slot::{SlotLimits, SlotOrigin, SlotQueue, SlotRequest, SlotVerdict},
@@ -13,7 +13,7 @@
     clock::ClockMillis,
     lab::LabError,
     manifest::RequestPriority,
-    proof::{CallLine, CallProof},
+    proof::{CallHead, CallProof},
     secret::{DeploymentSecret, KeyRing},
 };
 
@@ -49,13 +49,13 @@
         let Some(cid) = ClientCid::new(&number.to_be_bytes()) else {
             return;
         };
-        let offer = ConnectionOffer {
+        let attempt = ConnectionAttempt {
             cid,
-            place: CandidatePlace::Followed,
-            next: None,
+            position: CandidatePosition::HasNext,
+            next_load: None,
         };
         let now = ClockMillis::new(number / DECISIONS_PER_MILLI as u64);
-        black_box(gate.admit(offer, load, now));
+        black_box(gate.admit(attempt, load, now));
     });
     CostResult::new(ROLE, "decision on a new connection", nanos, "ns")
 }
@@ -72,7 +72,7 @@
         let request = SlotRequest {
             priority: RequestPriority::Normal,
             deadline: ClockMillis::new(u64::MAX),
-            origin: SlotOrigin::Own,
+            origin: SlotOrigin::Local,
         };
         let (verdict, _) = queue.request(request, now);
         if let SlotVerdict::Run(slot) = verdict {
@@ -106,15 +106,15 @@
 }
 
 fn measure_proofs(keys: &KeyRing, rounds: usize) -> CostResult {
-    let line = CallLine {
+    let head = CallHead {
         method: "POST",
         path: "/",
     };
     let body = [b' '; 200];
     let time = ClockMillis::new(1_000);
     let nanos = nanos_per_call(rounds.max(1), |round| {
-        let proof = CallProof::new(keys.active(), line, &body, time, round as u64);
-        black_box(proof.verify(keys, line, time).is_ok());
+        let proof = CallProof::new(keys.active(), head, &body, time, round as u64);
+        black_box(proof.verify(keys, head, time).is_ok());
         black_box(proof.verify_body(&body).is_ok());
     });
     let measure = "proof of a call of 200 bytes, signed and verified";
--- a/src/lab/cost/control_cost.rs
+++ b/src/lab/cost/control_cost.rs
@@ -10,8 +10,8 @@
     clock::ClockMillis,
     control::{
         api::{AnnounceRequest, HeartbeatRequest},
-        feed::{FeedAnswer, FeedScope, ReplicaState},
-        lease::{LeaseClaim, LeaseTable},
+        feed::{FeedAnswer, FeedScope, FeedState},
+        lease::{LeaseHolder, LeaseTable},
         state::ControlCommand,
     },
     key::FeedRevision,
@@ -33,7 +33,7 @@
     let targets = effort.size(TARGETS);
     let before = resident_bytes()?;
     let mut results = Vec::new();
-    let mut state = ReplicaState::new();
+    let mut state = FeedState::new();
     apply_manifest(&mut state, services, &mut results)?;
     let mut nanos = Vec::new();
     for index in 0..targets {
@@ -72,7 +72,7 @@
 }
 
 fn apply_manifest(
-    state: &mut ReplicaState,
+    state: &mut FeedState,
     services: usize,
     results: &mut Vec<CostResult>,
 ) -> Result<(), LabError> {
@@ -119,13 +119,13 @@
 }
 
 fn measure_feed(
-    state: &mut ReplicaState,
+    state: &mut FeedState,
     services: usize,
     targets: usize,
     effort: CostEffort,
     results: &mut Vec<CostResult>,
 ) -> Result<(), LabError> {
-    let apply_missed = |state: &mut ReplicaState, count: u64| -> Result<FeedRevision, LabError> {
+    let apply_missed = |state: &mut FeedState, count: u64| -> Result<FeedRevision, LabError> {
         let from = state.state().revision();
         for round in 0..count {
             let index = round as usize * 13 % targets;
@@ -169,17 +169,17 @@
     Ok(())
 }
 
-fn reply_bytes(state: &mut ReplicaState, from: FeedRevision) -> usize {
+fn reply_bytes(state: &mut FeedState, from: FeedRevision) -> usize {
     match state.answer(FeedScope::All, from) {
-        FeedAnswer::News(reply) => reply.bytes(),
+        FeedAnswer::Update(reply) => reply.bytes(),
         FeedAnswer::Unchanged(_) | FeedAnswer::Behind => 0,
     }
 }
 
 /// Polls the feed until it is up to date; returns the bytes and the number of calls.
-fn catch_up(state: &mut ReplicaState, from: FeedRevision) -> (usize, usize) {
+fn catch_up(state: &mut FeedState, from: FeedRevision) -> (usize, usize) {
     let (mut from, mut bytes, mut calls) = (from, 0, 0);
-    while let FeedAnswer::News(reply) = state.answer(FeedScope::All, from) {
+    while let FeedAnswer::Update(reply) = state.answer(FeedScope::All, from) {
         bytes += reply.bytes();
         calls += 1;
         match serde_json::from_str(reply.text.get()) {
@@ -196,9 +196,9 @@
     effort: CostEffort,
     results: &mut Vec<CostResult>,
 ) -> Result<(), LabError> {
-    let claims: Vec<LeaseClaim> = (0..targets)
+    let holders: Vec<LeaseHolder> = (0..targets)
         .map(|index| target_route(index, index % services, 0))
-        .map(|route| LeaseClaim {
+        .map(|route| LeaseHolder {
             target: route.key,
             incarnation: route.incarnation,
             service: route.service,
@@ -206,18 +206,18 @@
         .collect();
     let before = resident_bytes()?;
     let mut table = LeaseTable::default();
-    for claim in &claims {
-        table.grant(*claim, ClockMillis::ORIGIN);
+    for holder in &holders {
+        table.grant(*holder, ClockMillis::ORIGIN);
     }
     let after = resident_bytes()?;
     let nanos = nanos_per_call(effort.rounds(200_000), |round| {
-        let claim = &claims[round * 7 % targets];
+        let holder = &holders[round * 7 % targets];
         let now = ClockMillis::new(round as u64 / 100);
-        black_box(table.renew(claim.target, claim.incarnation, now));
+        black_box(table.renew(holder.target, holder.incarnation, now));
     });
     let request = HeartbeatRequest {
-        target: claims[0].target,
-        incarnation: claims[0].incarnation,
+        target: holders[0].target,
+        incarnation: holders[0].incarnation,
     };
     let result = |measure: &str, figure, unit| CostResult::new(ROLE, measure, figure, unit);
     results.extend([
--- a/src/lab/cost/sample_routes.rs
+++ b/src/lab/cost/sample_routes.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     clock::SpanMillis,
-    key::{DomainName, FeedRevision, IncarnationId, ServiceNumber, TargetKey},
+    key::{FailureDomain, FeedRevision, IncarnationId, ServiceNumber, TargetKey},
     manifest::{ServiceLimits, ServiceSpec},
     route::{RouteChange, RouteDelta, RouteSnapshot, ServiceRoute, TargetPhase, TargetRoute},
 };
@@ -46,7 +46,7 @@
         key: TargetKey::new(key),
         service: ServiceNumber::new(service as u16),
         incarnation: IncarnationId::new(mix_bits(index as u64 ^ run << 32)),
-        domain: DomainName::new(
+        domain: FailureDomain::new(
             &format!("region-{}", domain % REGIONS),
             &format!("domain-{domain}"),
         ),
@@ -69,10 +69,10 @@
 }
 
 /// Returns the delta from revision `after` to the next one.
-pub(super) fn delta_of(after: u64, changes: Vec<RouteChange>) -> RouteDelta {
+pub(super) fn delta_of(base_revision: u64, changes: Vec<RouteChange>) -> RouteDelta {
     RouteDelta {
-        after: FeedRevision::new(after),
-        revision: FeedRevision::new(after + 1),
+        base_revision: FeedRevision::new(base_revision),
+        revision: FeedRevision::new(base_revision + 1),
         changes,
         manifest_version: 1,
     }
--- a/src/proof/tests/layer.rs
+++ b/src/proof/tests/layer.rs
@@ -24,13 +24,14 @@
 use crate::{
     clock::{ClockMillis, SpanMillis},
     proof::{
-        CALL_HEADER, CallLine, CallProof, ProofLayer, REPLY_HEADER, ReplyProof, SignLayer, wall_now,
+        CALL_HEADER, CallHead, CallProof, ClientProofLayer, REPLY_HEADER, ReplyProof,
+        ServerProofLayer, unix_time_now,
     },
     secret::SecretStore,
 };
 
 const BODY_LIMIT: usize = 64;
-const LINE: CallLine<'static> = CallLine {
+const HEAD: CallHead<'static> = CallHead {
     method: "POST",
     path: "/",
 };
@@ -42,10 +43,10 @@
 }
 
 fn proof(store: &SecretStore, body: &[u8], time: ClockMillis) -> String {
-    CallProof::new(store.keys().active(), LINE, body, time, 42).to_string()
+    CallProof::new(store.keys().active(), HEAD, body, time, 42).to_string()
 }
 
-/// Sends a request through a `ProofLayer`; returns the response and the number
+/// Sends a request through a `ServerProofLayer`; returns the response and the number
 /// of calls that reached the server.
 async fn send(header: Option<String>, body: Vec<u8>) -> (HttpResponse<HttpBody>, usize) {
     let reached = Arc::new(AtomicUsize::new(0));
@@ -61,7 +62,7 @@
         request = request.header(CALL_HEADER, header);
     }
     let request = request.body(HttpBody::from(body)).expect("a valid request");
-    let service = ProofLayer::new(store(1), BODY_LIMIT).layer(inner);
+    let service = ServerProofLayer::new(store(1), BODY_LIMIT).layer(inner);
     let response = service.oneshot(request).await.expect("a response");
     (response, reached.load(Ordering::Relaxed))
 }
@@ -79,7 +80,7 @@
 
 fn invalid_call(call: InvalidCall) -> (Option<String>, Vec<u8>) {
     let body = b"{}".to_vec();
-    let now = wall_now();
+    let now = unix_time_now();
     let header = match call {
         InvalidCall::Missing => None,
         InvalidCall::OtherSecret => Some(proof(&store(2), &body, now)),
@@ -142,13 +143,13 @@
     let read = Arc::new(AtomicUsize::new(0));
     let body = CountedBody(Arc::clone(&read));
     let request = HttpRequest::post("/")
-        .header(CALL_HEADER, proof(&store(2), b"", wall_now()))
+        .header(CALL_HEADER, proof(&store(2), b"", unix_time_now()))
         .body(HttpBody::new(body))
         .expect("a valid request");
     let inner = service_fn(|_: HttpRequest<HttpBody>| {
         std::future::ready(Ok::<_, BoxError>(HttpResponse::new(HttpBody::empty())))
     });
-    let service = ProofLayer::new(store(1), BODY_LIMIT).layer(inner);
+    let service = ServerProofLayer::new(store(1), BODY_LIMIT).layer(inner);
     let response = service.oneshot(request).await.expect("a response");
     assert_eq!(response.status().as_u16(), 401);
     assert_eq!(read.load(Ordering::Relaxed), 0);
@@ -157,7 +158,7 @@
 #[tokio::test]
 async fn the_reply_to_an_authenticated_call_carries_a_proof() {
     let store = store(1);
-    let header = proof(&store, b"{}", wall_now());
+    let header = proof(&store, b"{}", unix_time_now());
     let (response, reached) = send(Some(header), b"{}".to_vec()).await;
     assert_eq!(reached, 1);
     let text = response.headers()[REPLY_HEADER]
@@ -172,7 +173,7 @@
 #[case::other_secret(2, false)]
 #[tokio::test]
 async fn a_client_accepts_only_authenticated_replies(#[case] server: u8, #[case] accepted: bool) {
-    // There is no `ProofLayer` here, so only the check of the reply decides.
+    // There is no `ServerProofLayer` here, so only the check of the reply decides.
     let server_store = store(server);
     let inner = service_fn(move |request: HttpRequest<HttpBody>| {
         let header = request.headers()[CALL_HEADER]
@@ -189,7 +190,7 @@
     let request = HttpRequest::post("/")
         .body(HttpBody::from("{}"))
         .expect("a valid request");
-    let service = SignLayer::new(store(1), BODY_LIMIT).layer(inner);
+    let service = ClientProofLayer::new(store(1), BODY_LIMIT).layer(inner);
     let answer = service.oneshot(request).await;
     assert_eq!(answer.is_ok(), accepted);
     if let Ok(answer) = answer {
--- a/src/route/route_table.rs
+++ b/src/route/route_table.rs
@@ -8,9 +8,9 @@
     RouteChange, RouteDelta, RouteError, RouteSnapshot, ServicePool, ServiceRoute, TargetEntry,
     TargetRoute,
 };
-use crate::key::{DomainName, FeedRevision, ServiceNumber, TargetKey};
+use crate::key::{FailureDomain, FeedRevision, ServiceNumber, TargetKey};
 
-type TargetsByDomain = BTreeMap<Arc<DomainName>, BTreeMap<TargetKey, TargetEntry>>;
+type TargetsByDomain = BTreeMap<Arc<FailureDomain>, BTreeMap<TargetKey, TargetEntry>>;
 
 /// All routes at one revision; the packet path reads it, the feed replaces it.
 ///
@@ -22,8 +22,8 @@
     services_by_address: HashMap<SocketAddrV4, ServiceNumber>,
     pools: HashMap<ServiceNumber, Arc<ServicePool>>,
     service_targets: HashMap<ServiceNumber, Arc<TargetsByDomain>>,
-    target_locations: HashMap<TargetKey, (ServiceNumber, Arc<DomainName>)>,
-    interned_domains: HashSet<Arc<DomainName>>,
+    target_locations: HashMap<TargetKey, (ServiceNumber, Arc<FailureDomain>)>,
+    interned_domains: HashSet<Arc<FailureDomain>>,
 }
 
 impl RouteTable {
@@ -66,7 +66,7 @@
     pub fn targets(
         &self,
         service: ServiceNumber,
-    ) -> impl Iterator<Item = (&DomainName, &TargetEntry)> {
+    ) -> impl Iterator<Item = (&FailureDomain, &TargetEntry)> {
         self.service_targets
             .get(&service)
             .into_iter()
@@ -98,7 +98,7 @@
     /// # Errors
     ///
     /// Fails when the snapshot is older than the table.
-    pub fn replace(&mut self, snapshot: RouteSnapshot) -> Result<(), RouteError> {
+    pub fn apply_snapshot(&mut self, snapshot: RouteSnapshot) -> Result<(), RouteError> {
         if snapshot.revision < self.revision {
             return Err(RouteError::Outdated {
                 in_force: self.revision,
@@ -127,17 +127,17 @@
     /// # Errors
     ///
     /// Fails without a change when the delta is outdated or leaves a gap.
-    pub fn update(&mut self, delta: &RouteDelta) -> Result<(), RouteError> {
+    pub fn apply_delta(&mut self, delta: &RouteDelta) -> Result<(), RouteError> {
         if delta.revision < self.revision {
             return Err(RouteError::Outdated {
                 in_force: self.revision,
                 offered: delta.revision,
             });
         }
-        if delta.after > self.revision {
+        if delta.base_revision > self.revision {
             return Err(RouteError::Gap {
                 in_force: self.revision,
-                after: delta.after,
+                base_revision: delta.base_revision,
             });
         }
         let mut changed_services = BTreeSet::new();
@@ -152,7 +152,7 @@
     }
 
     /// Advances to `revision` after the feed reported no change in scope; never goes back.
-    pub fn confirm(&mut self, revision: FeedRevision) {
+    pub fn advance_to(&mut self, revision: FeedRevision) {
         self.revision = self.revision.max(revision);
     }
 
@@ -220,7 +220,7 @@
         }
     }
 
-    fn intern_domain(&mut self, name: &DomainName) -> Arc<DomainName> {
+    fn intern_domain(&mut self, name: &FailureDomain) -> Arc<FailureDomain> {
         if let Some(domain) = self.interned_domains.get(name) {
             return Arc::clone(domain);
         }
